--- a/crates/account/src/account.rs
+++ b/crates/account/src/account.rs
@@ -1,7 +1,7 @@
 //! Keeps the books while the module runs.
 
-use crate::sheet::{End, Sheet, State, Verdict};
-use linenhall::{Action, Bound, Event, Outcome, Relay, Settings};
+use crate::usage_report::{CallOutcome, HealthState, MessageOutcome, UsageReport};
+use linenhall::{Action, Event, Outcome, Relay, Settings, WaitReason};
 use std::collections::{BTreeMap, HashMap};
 
 /// A message ended this long before its time was up, or less, ended because of it.
@@ -13,7 +13,7 @@
 /// What holds a destination's messages is looked at this often.
 const LOOK_MS: f64 = 5.0;
 
-type Waits = [f64; Bound::ALL.len()];
+type Waits = [f64; WaitReason::ALL.len()];
 
 #[derive(Debug)]
 struct Message {
@@ -33,7 +33,7 @@
 struct Call {
     dest: u64,
     class: usize,
-    state: State,
+    state: HealthState,
     since: f64,
 }
 
@@ -52,21 +52,21 @@
     calls: HashMap<(u64, u32), Call>,
     lines: BTreeMap<u64, Line>,
     looked: Option<f64>,
-    sheet: Sheet,
+    usage_report: UsageReport,
 }
 
-fn how(outcome: Outcome, late: bool) -> End {
+fn how(outcome: Outcome, late: bool) -> CallOutcome {
     match outcome {
-        Outcome::Delivered if late => End::Late,
-        Outcome::Delivered => End::InTime,
-        Outcome::Error => End::Error,
-        Outcome::Full => End::Full,
-        Outcome::TimedOut => End::TimedOut,
-        Outcome::NoConnection => End::NoConnection,
-        Outcome::Broken => End::Broken,
-        Outcome::Stale => End::Stale,
-        Outcome::Cancelled => End::CalledOff,
-        Outcome::NotSent => End::NotSent,
+        Outcome::Delivered if late => CallOutcome::Late,
+        Outcome::Delivered => CallOutcome::InTime,
+        Outcome::Error => CallOutcome::Error,
+        Outcome::Full => CallOutcome::Full,
+        Outcome::TimedOut => CallOutcome::TimedOut,
+        Outcome::NoConnection => CallOutcome::NoConnection,
+        Outcome::Broken => CallOutcome::Broken,
+        Outcome::Stale => CallOutcome::Stale,
+        Outcome::Cancelled => CallOutcome::CalledOff,
+        Outcome::NotSent => CallOutcome::NotSent,
     }
 }
 
@@ -80,7 +80,7 @@
             calls: HashMap::new(),
             lines: BTreeMap::new(),
             looked: None,
-            sheet: Sheet::default(),
+            usage_report: UsageReport::default(),
         }
     }
 
@@ -92,15 +92,18 @@
     }
 
     /// What was booked since the last call. `over`: the process ends here, and what is out goes to another.
-    pub fn take(&mut self, now: f64, over: bool) -> Sheet {
+    pub fn take(&mut self, now: f64, over: bool) -> UsageReport {
         if over {
             for (_, call) in std::mem::take(&mut self.calls) {
-                let row =
-                    self.sheet.calls.entry((call.dest, call.class, call.state, End::PassedOn)).or_default();
+                let row = self
+                    .usage_report
+                    .calls
+                    .entry((call.dest, call.class, call.state, CallOutcome::PassedOn))
+                    .or_default();
                 row.book(now - call.since);
             }
         }
-        std::mem::take(&mut self.sheet)
+        std::mem::take(&mut self.usage_report)
     }
 
     /// Books the time since the last look by what holds each destination now.
@@ -111,14 +114,14 @@
             return;
         }
         self.looked = Some(now);
-        self.sheet.span_ms += ms;
-        self.sheet.slot_ms += ms * self.slots as f64;
+        self.usage_report.span_ms += ms;
+        self.usage_report.slot_ms += ms * self.slots as f64;
         let waiting = self.lines.values().any(|l| l.held > 0);
-        self.sheet.full_ms += if waiting && self.calls.len() >= self.slots { ms } else { 0.0 };
+        self.usage_report.full_ms += if waiting && self.calls.len() >= self.slots { ms } else { 0.0 };
         for (dest, line) in self.lines.iter_mut().filter(|x| x.1.held > 0) {
-            let Some(bound) = relay.bound(*dest) else { continue };
+            let Some(bound) = relay.wait_reason(*dest) else { continue };
             line.waits[bound as usize] += ms;
-            *self.sheet.held.entry((*dest, bound)).or_default() += ms * line.held as f64;
+            *self.usage_report.held.entry((*dest, bound)).or_default() += ms * line.held as f64;
         }
     }
 
@@ -167,11 +170,11 @@
         let (dest, class, attempt) = (m.dest, m.class, m.next);
         m.next += 1;
         m.tries += 1;
-        let state = match relay.lane_state(dest, endpoint) {
-            linenhall::LaneState::Well => State::Well,
-            linenhall::LaneState::Sick => State::Sick,
-            linenhall::LaneState::Out => State::Out,
-            linenhall::LaneState::Ramp => State::Ramp,
+        let state = match relay.group_health(dest, endpoint) {
+            linenhall::GroupHealth::Healthy => HealthState::Well,
+            linenhall::GroupHealth::Degraded => HealthState::Sick,
+            linenhall::GroupHealth::Open => HealthState::Out,
+            linenhall::GroupHealth::SlowStart => HealthState::Ramp,
         };
         self.calls.insert((id, attempt), Call { dest, class, state, since: now });
     }
@@ -191,20 +194,20 @@
                 let late = m.is_some_and(|m| self.classes.get(m.class).is_some_and(|c| now > m.born + c.0));
                 if let Some(call) = call {
                     let key = (call.dest, call.class, call.state, how(*outcome, late));
-                    self.sheet.calls.entry(key).or_default().book(now - call.since);
+                    self.usage_report.calls.entry(key).or_default().book(now - call.since);
                 }
                 if *settled {
                     let verdict = match outcome {
-                        Outcome::Delivered if late => Verdict::Late,
-                        Outcome::Delivered => Verdict::InTime,
-                        _ => Verdict::Withdrawn,
+                        Outcome::Delivered if late => MessageOutcome::Late,
+                        Outcome::Delivered => MessageOutcome::InTime,
+                        _ => MessageOutcome::Withdrawn,
                     };
                     self.end(*id, verdict);
                 } else {
                     self.hold(*id);
                 }
             }
-            Event::Withdrawn { id } => self.end(*id, Verdict::Withdrawn),
+            Event::Withdrawn { id } => self.end(*id, MessageOutcome::Withdrawn),
             _ => {}
         }
     }
@@ -215,25 +218,25 @@
             Action::Refuse { id, .. } => {
                 let m = self.open.get(id);
                 let verdict = match m {
-                    Some(m) if m.due - now <= TIME_UP_MS => Verdict::TimeUp,
-                    _ => Verdict::HoldFull,
+                    Some(m) if m.due - now <= TIME_UP_MS => MessageOutcome::TimeUp,
+                    _ => MessageOutcome::HoldFull,
                 };
                 self.end(*id, verdict);
             }
             Action::Fail { id } => {
                 let m = self.open.get(id);
                 let up = m.is_some_and(|m| m.due - now <= TIME_UP_MS);
-                self.end(*id, if up { Verdict::TimeUp } else { Verdict::Spent });
+                self.end(*id, if up { MessageOutcome::TimeUp } else { MessageOutcome::Spent });
             }
             _ => {}
         }
     }
 
-    fn end(&mut self, id: u64, verdict: Verdict) {
+    fn end(&mut self, id: u64, verdict: MessageOutcome) {
         self.unhold(id);
         let Some(m) = self.open.remove(&id) else { return };
-        let longest = m.waited.iter().zip(Bound::ALL).filter(|x| *x.0 > 0.0);
+        let longest = m.waited.iter().zip(WaitReason::ALL).filter(|x| *x.0 > 0.0);
         let longest = longest.max_by(|a, b| a.0.total_cmp(b.0)).map(|x| x.1);
-        *self.sheet.ends.entry((m.dest, (m.class, verdict, longest))).or_default() += 1;
+        *self.usage_report.ends.entry((m.dest, (m.class, verdict, longest))).or_default() += 1;
     }
 }
--- a/crates/account/src/sheet.rs
+++ b/crates/account/src/usage_report.rs
@@ -1,13 +1,13 @@
 //! What is booked, and how it reads.
 
-use linenhall::Bound;
+use linenhall::WaitReason;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum End {
+pub enum CallOutcome {
     /// Delivered within the class's aim.
     InTime,
     /// Delivered after it.
@@ -34,7 +34,7 @@
 
 /// How a destination stood when a call went out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum State {
+pub enum HealthState {
     /// Nothing is known against it.
     Well,
     /// A call outruns its latency, or the last outcome failed.
@@ -47,7 +47,7 @@
 
 /// How a message ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum MessageOutcome {
     /// Delivered within the class's aim.
     InTime,
     /// Delivered after it.
@@ -64,45 +64,45 @@
 
 /// A count and its time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Spent {
+pub struct CountAndTime {
     /// How many.
     pub count: u64,
     /// Milliseconds in all.
     pub ms: f64,
 }
 
-impl Spent {
+impl CountAndTime {
     pub(crate) fn book(&mut self, ms: f64) {
         self.count += 1;
         self.ms += ms;
     }
 
-    fn add(&mut self, other: Spent) {
+    fn add(&mut self, other: CountAndTime) {
         self.count += other.count;
         self.ms += other.ms;
     }
 }
 
 /// A message's end: class by index, how, and the bound under which it waited longest (`None`: it never waited).
-pub type EndKey = (usize, Verdict, Option<Bound>);
+pub type MessageEndKey = (usize, MessageOutcome, Option<WaitReason>);
 
 /// What was booked in a span.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Sheet {
+pub struct UsageReport {
     /// Length of the span, summed over relays.
     pub span_ms: f64,
     /// Slots times time.
     pub slot_ms: f64,
     /// Calls by destination, class, the destination's state when they went out, and how they ended. The time is that of their slot.
     #[serde(with = "rows")]
-    pub calls: BTreeMap<(u64, usize, State, End), Spent>,
+    pub calls: BTreeMap<(u64, usize, HealthState, CallOutcome), CountAndTime>,
     /// Message-time in the hold, by destination and by what held it.
     #[serde(with = "rows")]
-    pub held: BTreeMap<(u64, Bound), f64>,
+    pub held: BTreeMap<(u64, WaitReason), f64>,
     /// Messages by destination and end.
     #[serde(with = "rows")]
-    pub ends: BTreeMap<(u64, EndKey), u64>,
+    pub ends: BTreeMap<(u64, MessageEndKey), u64>,
     /// Spans between rounds: with all slots taken while something waited, and all of them.
     pub full_ms: f64,
 }
@@ -125,9 +125,9 @@
     }
 }
 
-impl Sheet {
+impl UsageReport {
     /// Adds another span's, process's or relay's.
-    pub fn add(&mut self, other: &Sheet) {
+    pub fn add(&mut self, other: &UsageReport) {
         self.span_ms += other.span_ms;
         self.slot_ms += other.slot_ms;
         self.full_ms += other.full_ms;
@@ -137,22 +137,22 @@
     }
 
     /// Calls by how they ended.
-    pub fn by_end(&self) -> BTreeMap<End, Spent> {
-        let mut sums = BTreeMap::<End, Spent>::new();
+    pub fn by_end(&self) -> BTreeMap<CallOutcome, CountAndTime> {
+        let mut sums = BTreeMap::<CallOutcome, CountAndTime>::new();
         self.calls.iter().for_each(|((_, _, _, end), spent)| sums.entry(*end).or_default().add(*spent));
         sums
     }
 
     /// Messages by how they ended.
-    pub fn by_verdict(&self) -> BTreeMap<Verdict, u64> {
+    pub fn by_verdict(&self) -> BTreeMap<MessageOutcome, u64> {
         let mut sums = BTreeMap::new();
         self.ends.iter().for_each(|((_, (_, v, _)), n)| *sums.entry(*v).or_default() += n);
         sums
     }
 
     /// Messages that were neither delivered nor withdrawn, by what held them longest.
-    pub fn lost_by_bound(&self) -> BTreeMap<Option<Bound>, u64> {
-        let lost = [Verdict::TimeUp, Verdict::HoldFull, Verdict::Spent];
+    pub fn lost_by_bound(&self) -> BTreeMap<Option<WaitReason>, u64> {
+        let lost = [MessageOutcome::TimeUp, MessageOutcome::HoldFull, MessageOutcome::Spent];
         let mut sums = BTreeMap::new();
         let rows = self.ends.iter().filter(|((_, (_, v, _)), _)| lost.contains(v));
         rows.for_each(|((_, (_, _, bound)), n)| *sums.entry(*bound).or_default() += n);
@@ -160,7 +160,7 @@
     }
 }
 
-impl fmt::Display for Sheet {
+impl fmt::Display for UsageReport {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let part = |ms: f64| 100.0 * ms / self.slot_ms.max(1.0);
         let used: f64 = self.calls.values().map(|s| s.ms).sum();
@@ -177,11 +177,11 @@
             writeln!(f, "  {name:<16} {:>8} {:>8.1} {:>8.1}", s.count, s.ms / 1000.0, part(s.ms))?;
         }
         writeln!(f, "calls by state:      count   slot-s   delivered")?;
-        let mut states = BTreeMap::<State, (Spent, u64)>::new();
+        let mut states = BTreeMap::<HealthState, (CountAndTime, u64)>::new();
         for ((_, _, state, end), s) in &self.calls {
             let row = states.entry(*state).or_default();
             row.0.add(*s);
-            row.1 += if matches!(end, End::InTime | End::Late) { s.count } else { 0 };
+            row.1 += if matches!(end, CallOutcome::InTime | CallOutcome::Late) { s.count } else { 0 };
         }
         for (state, (s, good)) in states {
             let name = format!("{state:?}");
@@ -194,9 +194,11 @@
         writeln!(f, "classes: calls delivered (slot-s), other calls (slot-s); messages by end")?;
         let classes: BTreeSet<usize> = self.ends.keys().map(|(_, (class, ..))| *class).collect();
         for class in classes {
-            let (mut good, mut bad, mut ends) = (Spent::default(), Spent::default(), BTreeMap::new());
+            let (mut good, mut bad, mut ends) =
+                (CountAndTime::default(), CountAndTime::default(), BTreeMap::new());
             for ((_, _, _, end), s) in self.calls.iter().filter(|x| x.0 .1 == class) {
-                if matches!(end, End::InTime | End::Late) { &mut good } else { &mut bad }.add(*s);
+                if matches!(end, CallOutcome::InTime | CallOutcome::Late) { &mut good } else { &mut bad }
+                    .add(*s);
             }
             for ((_, (_, v, _)), n) in self.ends.iter().filter(|x| x.0 .1 .0 == class) {
                 *ends.entry(*v).or_insert(0) += n;
@@ -216,25 +218,25 @@
     }
 }
 
-impl Sheet {
+impl UsageReport {
     fn destinations(&self, f: &mut fmt::Formatter) -> fmt::Result {
         #[derive(Default)]
         struct Row {
-            good: Spent,
-            bad: Spent,
+            good: CountAndTime,
+            bad: CountAndTime,
             lost: u64,
-            held: BTreeMap<Bound, f64>,
+            held: BTreeMap<WaitReason, f64>,
         }
         let mut rows = BTreeMap::<u64, Row>::new();
         for ((dest, _, _, end), s) in &self.calls {
             let row = rows.entry(*dest).or_default();
             match end {
-                End::InTime | End::Late => row.good.add(*s),
+                CallOutcome::InTime | CallOutcome::Late => row.good.add(*s),
                 _ => row.bad.add(*s),
             }
         }
         for ((dest, (_, v, _)), n) in &self.ends {
-            let lost = matches!(v, Verdict::TimeUp | Verdict::HoldFull | Verdict::Spent);
+            let lost = matches!(v, MessageOutcome::TimeUp | MessageOutcome::HoldFull | MessageOutcome::Spent);
             rows.entry(*dest).or_default().lost += if lost { *n } else { 0 };
         }
         for ((dest, bound), ms) in &self.held {
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -79,7 +79,7 @@
             }
             Line::Discovery(update) => {
                 let news = update.resolve(&self.lists)?;
-                self.inbox()?.push(Event::Discovery(news));
+                self.inbox()?.push(Event::ListUpdate(news));
             }
             Line::Event(event) => self.inbox()?.push(event),
         }
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,9 +1,10 @@
 //! The words of the wire, and nothing of what they are for.
 use base64::{engine::general_purpose::STANDARD, Engine};
 use linenhall::{
-    Action, Class, Discovery, Endpoint, Event, Fade, Group, Listed, Outcome, Settings, WeightMeaning,
+    Action, Class, DedupScope, Endpoint, EndpointStatus, Event, ListUpdate, Outcome, Settings, ValueDecay,
+    WeightMeaning,
 };
-use mulleinslip_settings::words::{DISCOVERY, EFFECTS, FADES, GROUPS, WEIGHTS};
+use mulleinslip_settings::words::{DEDUP_SCOPES, DISCOVERY, EFFECTS, VALUE_DECAYS, WEIGHTS};
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
@@ -86,16 +87,16 @@
 }
 
 impl Update {
-    pub fn resolve(self, lists: &BTreeMap<usize, Vec<Endpoint>>) -> Result<Discovery, String> {
+    pub fn resolve(self, lists: &BTreeMap<usize, Vec<Endpoint>>) -> Result<ListUpdate, String> {
         let Update(how, slot) = self;
         if how == "failed" {
-            return Ok(Discovery::Failed);
+            return Ok(ListUpdate::Failed);
         }
         let list = lists.get(&slot).cloned().ok_or_else(|| format!("DIRECTORY {slot} was never given"))?;
         match how.as_str() {
-            "full" => Ok(Discovery::Whole(list)),
-            "cached" => Ok(Discovery::Cached(list)),
-            "delta" => Ok(Discovery::Changes(list)),
+            "full" => Ok(ListUpdate::Full(list)),
+            "cached" => Ok(ListUpdate::Cached(list)),
+            "delta" => Ok(ListUpdate::Delta(list)),
             _ => Err(format!("field How cannot be read: {how}")),
         }
     }
@@ -108,15 +109,15 @@
     let name = f.text("Host")?.to_string();
     let weight = f.maybe("Heft")?.unwrap_or(0.0);
     let listed = match f.text("StageState")? {
-        "active" => Listed::Active,
-        "leaving" => Listed::Leaving,
-        "left" => Listed::Gone,
+        "active" => EndpointStatus::Active,
+        "leaving" => EndpointStatus::Draining,
+        "left" => EndpointStatus::Removed,
         text => return Err(format!("field StageState cannot be read: {text}")),
     };
     let _start: Option<f64> = f.maybe("StartTimeMs")?;
     let kind = f.maybe("Machine")?.unwrap_or(0);
     f.end()?;
-    Ok(Endpoint { name, destination, zone, kind, weight, listed })
+    Ok(Endpoint { name, destination, zone, kind, weight, status: listed })
 }
 
 fn outcome(f: &mut Fields) -> Result<Outcome, String> {
@@ -151,7 +152,7 @@
             let (id, attempt) = (f.number("RequestId")?, f.number("Attempt")?);
             f.text("Host")?;
             let _lag: Option<f64> = f.maybe("LagMs")?;
-            Event::Started { id, attempt }
+            Event::ResponseStarted { id, attempt }
         }
         "REPLY" => {
             let (id, attempt) = (f.number("RequestId")?, f.number("Attempt")?);
@@ -175,7 +176,7 @@
             let text = f.text("Data")?;
             let bad = |_| format!("field Data cannot be read: {text}");
             let data = if text == "-" { Vec::new() } else { STANDARD.decode(text).map_err(bad)? };
-            Event::Note { from, data }
+            Event::PeerMessage { from, data }
         }
         _ => return Err(format!("unknown message {word}")),
     };
@@ -196,7 +197,7 @@
         Action::Timer { at, token } => format!("ARM {at:.3} {token}"),
         Action::Probe { endpoint } => format!("TOUCH {endpoint}"),
         Action::CloseIdle { endpoint } => format!("FREE_LINKS {endpoint}"),
-        Action::Tell { to, data } => {
+        Action::SendToPeer { to, data } => {
             let to = to.map_or("*".to_string(), |n| n.to_string());
             let data = if data.is_empty() { "-".to_string() } else { STANDARD.encode(data) };
             format!("PUBLISH {to} {data}")
@@ -258,10 +259,10 @@
             effect: p
                 .word(&at("Effect"), &EFFECTS)?
                 .ok_or_else(|| format!("setting {} is missing", at("Effect")))?,
-            group: p.word(&at("Group"), &GROUPS)?.unwrap_or(Group::All),
-            window_ms: p.or_zero(&at("DedupWindowMs"))?,
-            worth: p.need(&at("Points"))?,
-            late_worth: p.or_zero(&at("LateValue"))?,
+            dedup_scope: p.word(&at("Group"), &DEDUP_SCOPES)?.unwrap_or(DedupScope::All),
+            dedup_window_ms: p.or_zero(&at("DedupWindowMs"))?,
+            value: p.need(&at("Points"))?,
+            late_value: p.or_zero(&at("LateValue"))?,
             in_order: p.or_zero(&at("SerialByKey"))?,
         });
     }
@@ -277,20 +278,20 @@
         max_attempts: p.need("Limits.MaxAttempts")?,
         classes,
         tenant_rates,
-        over_share_worth: p.read("OverShareWorth")?.unwrap_or(1.0),
-        fade: p.word("Domain.Fades", &FADES)?.unwrap_or(Fade::Even),
+        over_share_value: p.read("OverShareWorth")?.unwrap_or(1.0),
+        value_decay: p.word("Domain.Fades", &VALUE_DECAYS)?.unwrap_or(ValueDecay::Linear),
         batch: p.list("Domain.BatchByKind")?,
-        apart: p.list("Domain.OwnLimits")?,
+        own_limits: p.list("Domain.OwnLimits")?,
         route_fee: p.list("Domain.RouteFee")?,
         cross_zone_cost: p.or_zero("Costs.CrossZone")?,
         handshake_cost: p.or_zero("Costs.Handshake")?,
-        weights: p.word("Weights", &WEIGHTS)?.unwrap_or(WeightMeaning::Nothing),
-        left_column: column("x0"),
+        weight_meaning: p.word("Weights", &WEIGHTS)?.unwrap_or(WeightMeaning::Ignored),
+        remaining_column: column("x0"),
         limit_column: column("x1"),
-        ask_discovery: p.word("Discovery", &DISCOVERY)?.unwrap_or(false),
+        poll_discovery: p.word("Discovery", &DISCOVERY)?.unwrap_or(false),
         may_cancel: p.or_zero("Limits.Cancel")?,
         may_probe: p.or_zero("Limits.Probing")?,
-        second_copies: p.or_zero("Limits.SecondCopies")?,
+        hedging: p.or_zero("Limits.SecondCopies")?,
         retry_after: p.or_zero("Limits.RetryAfter")?,
         max_retry_after_ms: p.or_zero("Limits.MaxRetryAfterMs")?,
         conn_idle_ms: p.or_zero("Limits.ConnIdleMs")?,
@@ -299,7 +300,7 @@
         warm_after_ms: p.need("Safety.WarmAfterMs")?,
         fall_multiple: p.need("Safety.FallMultiple")?,
         fall_ms: p.need("Safety.FallMs")?,
-        ends_told: false,
+        confirms_answers: false,
         order_pause_ms: p.or_zero("Safety.OrderPauseMs")?,
         tick_ms: p.or_zero("TickMs")?,
     };
--- a/crates/control/src/call.rs
+++ b/crates/control/src/call.rs
@@ -1,12 +1,12 @@
 //! What can be called, and what is answered.
 
-use crate::figures::Figures;
+use crate::metrics::Metrics;
 
 /// The longest line that is read, its end among it; the longest call has nine characters.
 pub const MOST_LINE: usize = 128;
 
 /// What is operated: the process.
-pub trait Operated {
+pub trait RelayControl {
     /// Whether this process can serve, and else why not.
     ///
     /// # Errors
@@ -14,21 +14,21 @@
     fn check(&self) -> Result<(), &'static str>;
 
     /// The figures as they stand.
-    fn figures(&self) -> Figures;
+    fn metrics(&self) -> Metrics;
 
     /// Sends clients away, or takes them again. Asking for what is the case already does no harm.
     ///
     /// # Errors
-    /// As [`Operated::check`].
+    /// As [`RelayControl::check`].
     fn drain(&self, on: bool) -> Result<(), &'static str>;
 }
 
 /// The whole answer to one line. It begins with `+OK` or `-ERR`.
-pub fn answer(line: &[u8], relay: &dyn Operated) -> String {
+pub fn answer(line: &[u8], relay: &dyn RelayControl) -> String {
     let line = line.strip_suffix(b"\n").unwrap_or(line);
     match line.trim_ascii() {
         b"check" => done(relay.check()),
-        b"vars" => format!("+OK\n{}.\n", relay.figures()),
+        b"vars" => format!("+OK\n{}.\n", relay.metrics()),
         b"drain-on" => done(relay.drain(true)),
         b"drain-off" => done(relay.drain(false)),
         _ => "-ERR no such call; there are check, vars, drain-on, drain-off\n".into(),
@@ -42,7 +42,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::figures::Ends;
+    use crate::metrics::OutcomeCounts;
     use std::cell::Cell;
 
     struct Fixed {
@@ -50,13 +50,13 @@
         drained: Cell<Option<bool>>,
     }
 
-    impl Operated for Fixed {
+    impl RelayControl for Fixed {
         fn check(&self) -> Result<(), &'static str> {
             self.serves
         }
-        fn figures(&self) -> Figures {
-            let classes = vec![("a".into(), Ends { passed: 812, ..Ends::default() })];
-            Figures { classes, in_progress: 14, ..Figures::default() }
+        fn metrics(&self) -> Metrics {
+            let classes = vec![("a".into(), OutcomeCounts { passed: 812, ..OutcomeCounts::default() })];
+            Metrics { classes, in_progress: 14, ..Metrics::default() }
         }
         fn drain(&self, on: bool) -> Result<(), &'static str> {
             self.drained.set(Some(on));
--- a/crates/control/src/figures.rs
+++ b/crates/control/src/metrics.rs
@@ -6,7 +6,7 @@
 
 /// How messages of one class ended, since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ends {
+pub struct OutcomeCounts {
     /// Delivered.
     pub passed: u64,
     /// Refused, at once or after they were taken on.
@@ -17,11 +17,11 @@
 
 /// What is told.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Metrics {
     /// By name of the class.
-    pub classes: Vec<(String, Ends)>,
+    pub classes: Vec<(String, OutcomeCounts)>,
     /// Messages written whole to hosts, since the process started.
-    pub tries: u64,
+    pub upstream_tries: u64,
     /// Messages taken on and not ended.
     pub in_progress: usize,
     /// Hosts in the list.
@@ -48,7 +48,7 @@
     }
 }
 
-impl fmt::Display for Figures {
+impl fmt::Display for Metrics {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         for (class, ends) in &self.classes {
             let rows = [("passed", ends.passed), ("dropped", ends.dropped), ("bad_gateway", ends.failed)];
@@ -57,7 +57,7 @@
                 writeln!(f, "{PREFIX}_handled_total{{category={class},outcome=\"{outcome}\"}} {count}")?;
             }
         }
-        writeln!(f, "{PREFIX}_upstream_tries_total {}", self.tries)?;
+        writeln!(f, "{PREFIX}_upstream_tries_total {}", self.upstream_tries)?;
         writeln!(f, "{PREFIX}_in_progress {}", self.in_progress)?;
         writeln!(f, "{PREFIX}_known_hosts {}", self.known_hosts)?;
         writeln!(f, "{PREFIX}_skipped_hosts {}", self.skipped_hosts)
@@ -70,9 +70,9 @@
 
     #[test]
     fn a_line_for_each_figure() {
-        let ends = Ends { passed: 1, dropped: 2, failed: 3 };
-        let (classes, tries) = (vec![("o\"r\\d\n".to_string(), ends)], 9);
-        let figures = Figures { classes, tries, in_progress: 4, known_hosts: 5, skipped_hosts: 6 };
+        let ends = OutcomeCounts { passed: 1, dropped: 2, failed: 3 };
+        let (classes, upstream_tries) = (vec![("o\"r\\d\n".to_string(), ends)], 9);
+        let metrics = Metrics { classes, upstream_tries, in_progress: 4, known_hosts: 5, skipped_hosts: 6 };
         let expected = "\
 edge_router_handled_total{category=\"o\\\"r\\\\d\\n\",outcome=\"passed\"} 1
 edge_router_handled_total{category=\"o\\\"r\\\\d\\n\",outcome=\"dropped\"} 2
@@ -82,6 +82,6 @@
 edge_router_known_hosts 5
 edge_router_skipped_hosts 6
 ";
-        assert_eq!(figures.to_string(), expected);
+        assert_eq!(metrics.to_string(), expected);
     }
 }
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -1,6 +1,6 @@
 //! The listener. A caller that says nothing holds one of few places, and loses it to one that comes later.
 
-use crate::call::{answer, Operated, MOST_LINE};
+use crate::call::{answer, RelayControl, MOST_LINE};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -41,7 +41,7 @@
     }
 }
 
-async fn talk<R: Operated>(mut stream: TcpStream, relay: &R) {
+async fn talk<R: RelayControl>(mut stream: TcpStream, relay: &R) {
     if let Some(line) = line(&mut stream).await {
         let said = answer(&line, relay);
         let _caller_gone = stream.write_all(said.as_bytes()).await;
@@ -50,7 +50,7 @@
 }
 
 /// Answers callers, for good. Runs on a [`tokio::task::LocalSet`].
-pub async fn serve<R: Operated + 'static>(listener: TcpListener, relay: Rc<R>) {
+pub async fn serve<R: RelayControl + 'static>(listener: TcpListener, relay: Rc<R>) {
     // Those that are here, the first first, and what sends each away.
     let here: Rc<RefCell<Callers>> = Rc::default();
     for number in 0.. {
--- a/crates/daemon/benches/sockets.rs
+++ b/crates/daemon/benches/sockets.rs
@@ -73,7 +73,7 @@
 }
 
 /// Hands in `count` messages over all clients; destinations by number.
-fn hand_in(to: SocketAddr, name: &str, count: usize, dest: impl Fn(usize) -> u64 + Copy + Send + 'static) {
+fn submit(to: SocketAddr, name: &str, count: usize, dest: impl Fn(usize) -> u64 + Copy + Send + 'static) {
     let clients = (0..CLIENTS).map(|client| {
         let name = name.to_string();
         std::thread::spawn(move || {
@@ -108,7 +108,7 @@
 /// CPU a message and messages a second.
 fn measure(process: u32, to: SocketAddr, served: &AtomicUsize, name: &str) -> (f64, f64) {
     let (before, cpu, start) = (served.load(Ordering::SeqCst), cpu_us(process), Instant::now());
-    hand_in(to, name, MESSAGES, |_| 0);
+    submit(to, name, MESSAGES, |_| 0);
     until("all are delivered", || (served.load(Ordering::SeqCst) >= before + MESSAGES).then_some(()));
     let wall = start.elapsed().as_secs_f64();
     ((cpu_us(process) - cpu) / MESSAGES as f64, MESSAGES as f64 / wall)
@@ -189,8 +189,8 @@
     }
     config["limits"] = json!({"cores": 1.0, "memory_mb": 512, "sockets": 1024, "disk_mb": 256});
     let relay = Relay::with(PROGRAM, config, &agent);
-    until("the list", || (relay.hand_in("safe", "first", 0).status() == 202).then_some(()));
-    hand_in(relay.address, "held", held, |n| 1 + n as u64 % SLOW);
+    until("the list", || (relay.submit("safe", "first", 0).status() == 202).then_some(()));
+    submit(relay.address, "held", held, |n| 1 + n as u64 % SLOW);
     relay
 }
 
@@ -244,7 +244,7 @@
 fn bad_clients(relays: &[Relay], sizes: &[usize]) {
     println!("\nbad clients, CPU a request in us, medians of {ROUNDS} rounds");
     println!("{:<24} {}", "held", sizes.iter().map(|s| format!("{s:>10}")).collect::<String>());
-    relays.iter().for_each(|r| hand_in(r.address, "again", 1, |_| 1));
+    relays.iter().for_each(|r| submit(r.address, "again", 1, |_| 1));
     for (name, status, request) in BAD {
         let all = |r: &Relay| median((0..ROUNDS).map(|_| flood(r, status, request)).collect());
         println!("{name:<24} {}", relays.iter().map(|r| format!("{:>10.1}", all(r))).collect::<String>());
--- a/crates/daemon/src/account.rs
+++ b/crates/daemon/src/account.rs
@@ -1,7 +1,7 @@
 //! `serve --account`: the books of slots and waits as lines in the log, and the reading of such lines.
 
 use linenhall::{Action, Event, Relay, Settings};
-use mulleinslip_account::{Account, Sheet};
+use mulleinslip_account::{Account, UsageReport};
 use mulleinslip_engine::Observer;
 use std::cell::RefCell;
 use std::fs;
@@ -21,11 +21,11 @@
 
 /// The books of this process. Cloned, they are the same ones.
 #[derive(Clone)]
-pub struct Keeper(Rc<RefCell<Books>>);
+pub struct UsageLogger(Rc<RefCell<Books>>);
 
-impl Keeper {
-    pub fn new(settings: &Settings, now: f64) -> Keeper {
-        Keeper(Rc::new(RefCell::new(Books { account: Account::new(settings), wrote: now, now })))
+impl UsageLogger {
+    pub fn new(settings: &Settings, now: f64) -> UsageLogger {
+        UsageLogger(Rc::new(RefCell::new(Books { account: Account::new(settings), wrote: now, now })))
     }
 
     /// The process's part of the serving is over.
@@ -36,7 +36,7 @@
     }
 }
 
-impl Observer for Keeper {
+impl Observer for UsageLogger {
     fn round(&mut self, now: f64, events: &[Event], actions: &[Action], relay: &Relay) {
         let mut books = self.0.borrow_mut();
         books.now = now;
@@ -48,24 +48,24 @@
     }
 }
 
-fn write(sheet: &Sheet) {
-    match serde_json::to_string(sheet) {
+fn write(usage_report: &UsageReport) {
+    match serde_json::to_string(usage_report) {
         Ok(text) => eprintln!("mulleinslip: {MARK}{text}"),
         Err(e) => eprintln!("mulleinslip: no account: {e}"),
     }
 }
 
 /// Adds up what stands in these logs, of all relays and processes.
-pub fn read(files: &[&str]) -> Result<Sheet, String> {
-    let mut sum = Sheet::default();
+pub fn read(files: &[&str]) -> Result<UsageReport, String> {
+    let mut sum = UsageReport::default();
     let mut lines = 0;
     for file in files {
         let text = fs::read(Path::new(file)).map_err(|e| format!("{file}: {e}"))?;
         for (n, line) in String::from_utf8_lossy(&text).lines().enumerate() {
-            let Some((_, sheet)) = line.split_once(MARK) else { continue };
+            let Some((_, usage_report)) = line.split_once(MARK) else { continue };
             // A process that was killed may have left half a line.
-            match serde_json::from_str::<Sheet>(sheet) {
-                Ok(sheet) => sum.add(&sheet),
+            match serde_json::from_str::<UsageReport>(usage_report) {
+                Ok(usage_report) => sum.add(&usage_report),
                 Err(e) if e.is_eof() => {}
                 Err(e) => return Err(format!("{file}: line {}: {e}", n + 1)),
             }
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -2,8 +2,8 @@
 
 use linenhall::Settings;
 use mulleinslip_engine::Names;
-use mulleinslip_http::{Calls, List, ListNames, MOST_LIST};
-use mulleinslip_settings::{FileSettings, Read};
+use mulleinslip_http::{List, ListNames, PollCost, MAX_LIST_BYTES};
+use mulleinslip_settings::{FileSettings, ParsedSettings};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -35,11 +35,11 @@
     pub disk_bytes: u64,
     pub known: List,
     /// How far a list is read, in bytes.
-    pub most_list: usize,
+    pub max_list_bytes: usize,
     /// So many destinations the decisions and the carrier know at once.
-    pub most_used: usize,
+    pub max_active_destinations: usize,
     /// What a call for the list costs.
-    pub list_calls: Calls,
+    pub list_calls: PollCost,
     pub settings: Settings,
     pub names: Names,
     pub list_names: ListNames,
@@ -100,7 +100,7 @@
 }
 
 /// Reads and checks the file.
-fn load(path: &Path) -> Result<(File, Read), String> {
+fn load(path: &Path) -> Result<(File, ParsedSettings), String> {
     let named = |e: &dyn std::fmt::Display| format!("configuration {}: {e}", path.display());
     let text = std::fs::read_to_string(path).map_err(|e| named(&e))?;
     // A field that is null is one that is absent. The error that is told has the line of the text as it stands.
@@ -125,7 +125,7 @@
 
 /// Checks a file without serving. Gives what it says, in a line.
 pub fn check(path: &Path) -> Result<String, String> {
-    let (file, Read { settings, .. }) = load(path)?;
+    let (file, ParsedSettings { settings, .. }) = load(path)?;
     for (what, text) in [("listen", &file.listen), ("discovery", &file.discovery), ("control", &file.control)]
     {
         text.as_ref().map(|t| address(what, t)).transpose()?;
@@ -156,10 +156,13 @@
         seed: u64::from_str_radix(&file.seed, 16).unwrap_or_else(|_| fastrand::u64(..)),
         sockets: file.limits.sockets,
         disk_bytes: (file.limits.disk_mb * 1e6) as u64,
-        most_list: ((file.limits.memory_mb.clamp(0.0, 1e6) * 1e6) as usize / LIST_PART).max(MOST_LIST),
-        most_used: ((file.limits.memory_mb.clamp(0.0, 1e6) * 1e6) as usize / USED_PART / USED_BYTES)
+        max_list_bytes: ((file.limits.memory_mb.clamp(0.0, 1e6) * 1e6) as usize / LIST_PART)
+            .max(MAX_LIST_BYTES),
+        max_active_destinations: ((file.limits.memory_mb.clamp(0.0, 1e6) * 1e6) as usize
+            / USED_PART
+            / USED_BYTES)
             .max(LEAST_USED),
-        list_calls: Calls::of(read.settings.relays, read.list_is_asked_for),
+        list_calls: PollCost::of(read.settings.relays, read.discovery_is_polled),
         settings: read.settings,
         names: Names { classes: read.classes, tenants: read.tenants },
         list_names: ListNames { zones: read.zones, kinds: read.kinds },
--- a/crates/daemon/src/hearsay.rs
+++ b/crates/daemon/src/hearsay.rs
@@ -32,28 +32,28 @@
     /// The lists to start from: the one known from before, then what the agent has told already.
     pub fn first(&self, known: List, agent: SocketAddr, told: Vec<List>) -> Vec<List> {
         let (now, mut view) = (self.clock.now(), self.view.borrow_mut());
-        let known = view.known(known);
-        let told: Vec<_> = told.into_iter().filter_map(|list| view.told(agent, list, now)).collect();
-        if told.iter().any(|told| told.departures) {
+        let known = view.apply_known(known);
+        let told: Vec<_> = told.into_iter().filter_map(|list| view.apply(agent, list, now)).collect();
+        if told.iter().any(|told| told.tombstones_changed) {
             self.keep(view.members());
         }
         [known].into_iter().chain(told.into_iter().map(|told| told.list)).collect()
     }
 
     /// News of an agent. `false` once nobody serves any more.
-    pub fn told(&self, agent: SocketAddr, list: List) -> bool {
+    pub fn apply(&self, agent: SocketAddr, list: List) -> bool {
         let mut view = self.view.borrow_mut();
-        let Some(told) = view.told(agent, list, self.clock.now()) else { return true };
-        self.carrier.leave(&told.list);
-        if told.departures {
+        let Some(told) = view.apply(agent, list, self.clock.now()) else { return true };
+        self.carrier.stop_sending_to_drained(&told.list);
+        if told.tombstones_changed {
             self.keep(view.members());
         }
         self.handle.list(told.list)
     }
 
     fn keep(&self, members: &Members) {
-        let rows = members.departed().into_iter().map(|d| (d.name, d.since_ms, d.agent, d.index)).collect();
-        let kept = self.engine.borrow_mut().store_mut().departed(rows);
+        let rows = members.tombstones().into_iter().map(|d| (d.name, d.since_ms, d.agent, d.index)).collect();
+        let kept = self.engine.borrow_mut().store_mut().record_tombstones(rows);
         if let Err(e) = kept {
             eprintln!("mulleinslip: journal: {e}; a restart may take hosts for listed that have left");
         }
--- a/crates/daemon/src/operate.rs
+++ b/crates/daemon/src/operate.rs
@@ -1,6 +1,6 @@
 //! What on-call staff operate: the parts that answer the second address.
 
-use mulleinslip_control::{Ends, Figures, Operated};
+use mulleinslip_control::{Metrics, OutcomeCounts, RelayControl};
 use mulleinslip_engine::{Engine, Names};
 use mulleinslip_http::{Clients, HttpCarrier, Intake};
 use mulleinslip_journal::Journal;
@@ -47,7 +47,7 @@
     }
 }
 
-impl Operated for Operator {
+impl RelayControl for Operator {
     fn check(&self) -> Result<(), &'static str> {
         match self.serving.get() {
             None => Err("starting"),
@@ -57,19 +57,19 @@
         }
     }
 
-    fn figures(&self) -> Figures {
+    fn metrics(&self) -> Metrics {
         let names = self.names.classes.iter().cloned();
         let Some(parts) = self.serving.get() else {
-            let classes = names.map(|name| (name, Ends::default())).collect();
-            return Figures { classes, ..Figures::default() };
+            let classes = names.map(|name| (name, OutcomeCounts::default())).collect();
+            return Metrics { classes, ..Metrics::default() };
         };
         let engine = parts.engine.borrow();
         let (known_hosts, skipped_hosts) = engine.hosts(parts.clock.now());
         let ends = engine.tally().classes().iter();
-        let ends = ends.map(|e| Ends { passed: e.delivered, dropped: e.refused, failed: e.failed });
-        Figures {
+        let ends = ends.map(|e| OutcomeCounts { passed: e.delivered, dropped: e.refused, failed: e.failed });
+        Metrics {
             classes: names.zip(ends).collect(),
-            tries: parts.carrier.tries(),
+            upstream_tries: parts.carrier.attempts_written(),
             in_progress: if self.passed.get() { 0 } else { engine.held().0 },
             known_hosts,
             skipped_hosts,
--- a/crates/daemon/src/serve.rs
+++ b/crates/daemon/src/serve.rs
@@ -1,6 +1,6 @@
 //! The order in which the parts start, and signals.
 
-use crate::account::Keeper;
+use crate::account::UsageLogger;
 use crate::config::{self, Config};
 use crate::hearsay::Hearsay;
 use crate::operate::{Operator, Serving};
@@ -9,11 +9,11 @@
 
 use mulleinslip_http::{
     audit::{self, Step},
-    run_notices, CarrierSettings, Clients, Discovery, HttpCarrier, HttpFront, Intake, Ticket, Unheard,
+    run_notices, CarrierSettings, Clients, Discovery, FetchError, HttpCarrier, HttpFront, Intake, Ticket,
 };
 use mulleinslip_journal::Journal;
-use mulleinslip_membership::{Departed, View};
-use mulleinslip_runtime::{Alive, Clock, Runtime, StopTimes};
+use mulleinslip_membership::{Tombstone, View};
+use mulleinslip_runtime::{Clock, Predecessor, Runtime, ShutdownTimes};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::os::fd::AsFd;
@@ -29,7 +29,7 @@
 /// From SIGTERM until idle client connections are closed: until then new ones may come.
 const KEEP_LISTENING: Duration = Duration::from_millis(450);
 /// SIGKILL may come 3.7 s after SIGTERM; connections go on coming for up to 0.4 s.
-const STOP: StopTimes = StopTimes { calls_end_ms: 3500.0, linger_ms: 600.0, exit_ms: 3600.0 };
+const STOP: ShutdownTimes = ShutdownTimes { calls_end_ms: 3500.0, linger_ms: 600.0, exit_ms: 3600.0 };
 /// Whoever has begun a request has it answered when the process ends; so long is waited for it, which is longer than a
 /// request may take to come whole, and never beyond the end of [`STOP`].
 const FINISH: Duration = Duration::from_millis(850);
@@ -83,13 +83,13 @@
         spawn_local(mulleinslip_control::serve(control, operator.clone()));
     }
     let connections = config.sockets.saturating_sub(OTHER_DESCRIPTORS + NEXT_PROCESS).max(2) / 2;
-    let view = Rc::new(RefCell::new(View::new(Vec::new(), config.most_used)));
+    let view = Rc::new(RefCell::new(View::new(Vec::new(), config.max_active_destinations)));
     let carrier_settings = CarrierSettings {
-        most_open: connections,
+        max_open: connections,
         connect_timeout: config.connect_timeout,
         conn_idle_ms: config.settings.conn_idle_ms,
         names: config.list_names,
-        apart: config.settings.apart.clone(),
+        own_limits: config.settings.own_limits.clone(),
         report_columns: config.report_columns,
     };
     let carrier = Rc::new(HttpCarrier::new(carrier_settings, view.clone()));
@@ -98,7 +98,7 @@
     let handle = queue.0.clone();
     // What discovery's agent has counts as told: a host that has left meanwhile must not be sent to. Asked before the
     // folder is opened: a process that is taken over from stands still until that is over.
-    let mut agent = Discovery::new(config.discovery, config.list_calls).reads(config.most_list);
+    let mut agent = Discovery::new(config.discovery, config.list_calls).reads(config.max_list_bytes);
     let start = agent.start_after(config.known.index);
     let spread = agent.spread();
     let mut asking = Box::pin(async move {
@@ -110,7 +110,7 @@
     let wait = if start.is_some() { Duration::ZERO } else { FIRST_LIST };
     let (agent, first) = match tokio::time::timeout(wait, &mut asking).await {
         Ok((agent, first)) => (Some(agent), first),
-        Err(_) => (None, Err(Unheard::Failed("no answer in time".into()))),
+        Err(_) => (None, Err(FetchError::Failed("no answer in time".into()))),
     };
     // Where nothing is waited for, nothing is late.
     let first = first.inspect_err(|e| {
@@ -122,33 +122,38 @@
     let opened = takeover::open(&config.state, config.disk_bytes).await;
     let (journal, mut left, taken) =
         opened.map_err(|e| format!("journal in {}: {e}", config.state.display()))?;
-    for kept in &left.kept {
-        audit::note(&kept.taken.call_id, || Step::Restored {
-            due: kept.taken.due,
+    for kept in &left.messages {
+        audit::note(&kept.message.call_id, || Step::Restored {
+            due: kept.message.due,
             attempts: kept.attempts.len(),
-            given_up: kept.verdict.is_some(),
+            given_up: kept.given_up.is_some(),
         });
     }
     left.notes.iter().for_each(|note| log(note));
     let mut engine = Engine::new(config.settings.clone(), config.seed, config.names.clone(), journal);
-    let books = account.then(|| Keeper::new(&config.settings, clock.now()));
+    let books = account.then(|| UsageLogger::new(&config.settings, clock.now()));
     books.iter().for_each(|books| engine.observe(Box::new(books.clone())));
     let mut runtime = Runtime::new(engine, carrier.clone(), HttpFront::new(notices), clock, queue, log);
 
     let offer = taken.as_ref().map(|t| t.offer.clone()).unwrap_or_default();
-    takeover::heed(&carrier, &offer.waits);
+    takeover::restore_retry_afters(&carrier, &offer.retry_afters);
     let now = clock.now();
     let learnt = takeover::learnt(&offer);
-    let waits = offer.waits.iter().cloned().map(|(dest, host, ms)| (dest, host, now + ms)).collect();
-    let alive = Alive { lives: taken.is_some(), out: offer.out.clone(), waits, learnt };
+    let waits = offer.retry_afters.iter().cloned().map(|(dest, host, ms)| (dest, host, now + ms)).collect();
+    let alive = Predecessor {
+        is_running: taken.is_some(),
+        attempts_in_flight: offer.attempts_in_flight.clone(),
+        retry_afters: waits,
+        learnt,
+    };
     let (call_off, call_offs) = mpsc::unbounded_channel();
-    runtime.calls_off_elsewhere(move |id, attempt| {
+    runtime.cancel_elsewhere(move |id, attempt| {
         let _gone = call_off.send((id, attempt));
     });
     let (told, index) = takeover::lists(&offer, first.ok(), config.discovery);
-    let departed = std::mem::take(&mut left.departed).into_iter();
-    let departed = departed.map(|(name, since_ms, agent, index)| Departed { name, since_ms, agent, index });
-    *view.borrow_mut() = View::new(departed.collect(), config.most_used);
+    let departed = std::mem::take(&mut left.tombstones).into_iter();
+    let departed = departed.map(|(name, since_ms, agent, index)| Tombstone { name, since_ms, agent, index });
+    *view.borrow_mut() = View::new(departed.collect(), config.max_active_destinations);
     let hearsay = Hearsay::new(view.clone(), runtime.engine(), carrier.clone(), handle.clone(), clock);
     let lists = hearsay.first(config.known, config.discovery, told);
     runtime.restore(lists, left, &alive);
@@ -156,7 +161,7 @@
     let (moved, place) = watch::channel(config.discovery);
     spawn_local(run_notices(place.clone(), notices_inbox, handle.clone()));
     let (mut watched, mut index) = (place.clone(), index.or(start));
-    let (told_at, calls, most) = (config.discovery, config.list_calls, config.most_list);
+    let (told_at, calls, most) = (config.discovery, config.list_calls, config.max_list_bytes);
     spawn_local(async move {
         let agent = match agent {
             Some(agent) => agent,
@@ -167,7 +172,7 @@
                 (agent, first) = asking => {
                     if let Ok(list) = first {
                         index = Some(list.index);
-                        if !hearsay.told(told_at, list) {
+                        if !hearsay.apply(told_at, list) {
                             return;
                         }
                     }
@@ -175,7 +180,7 @@
                 }
             },
         };
-        agent.watch(index, watched, move |agent, list| hearsay.told(agent, list)).await;
+        agent.watch(index, watched, move |agent, list| hearsay.apply(agent, list)).await;
     });
     let file = config.file;
     spawn_local(async move {
@@ -214,7 +219,7 @@
             clients.drain(true);
         }
         let (clients, carrier, handle) = (clients.clone(), carrier.clone(), handle.clone());
-        spawn_local(takeover::follow(channel, offer.out, call_offs, clients, carrier, handle));
+        spawn_local(takeover::follow(channel, offer.attempts_in_flight, call_offs, clients, carrier, handle));
     }
     let stand = Stand {
         folder: config.state,
@@ -255,7 +260,7 @@
     });
     eprintln!("mulleinslip: {} serves on {listening}", config.name);
     runtime.run().await;
-    books.iter().for_each(Keeper::end);
+    books.iter().for_each(UsageLogger::end);
     if !operator.has_passed() {
         // Nothing is owed any more, but for an answer to those whose request is coming: they may not know yet.
         let exit = Duration::from_secs_f64(STOP.exit_ms / 1000.0);
--- a/crates/daemon/src/takeover.rs
+++ b/crates/daemon/src/takeover.rs
@@ -2,16 +2,16 @@
 //! `mulleinslip_takeover::protocol`'s.
 
 use crate::operate::Operator;
-use mulleinslip_engine::{Ended as Came, Engine};
-use mulleinslip_http::{Clients, Handle, HttpCarrier, Intake, List, Passed};
-use mulleinslip_journal::{Journal, Left};
+use mulleinslip_engine::{AttemptEnd as EngineAttemptEnd, Engine};
+use mulleinslip_http::{Clients, HandedOverConnection, Handle, HttpCarrier, Intake, List};
+use mulleinslip_journal::{Journal, RecoveredState};
 use mulleinslip_membership::View;
-use mulleinslip_runtime::{Clock, EndedHere};
-use mulleinslip_takeover::channel::{Channel, Door};
+use mulleinslip_runtime::{Clock, ForwardedEnd};
+use mulleinslip_takeover::channel::{Channel, TakeoverListener};
 use mulleinslip_takeover::message::{
-    Ended, ToNew, ToOld, FIRST_VERSION, LIST_ROWS, PART_ROWS, ROWS, VERSION,
+    AttemptEnd, ToNew, ToOld, FIRST_VERSION, LIST_ROWS, PART_ROWS, ROWS, VERSION,
 };
-use mulleinslip_takeover::protocol::{New, NewStep, Offer, Old, OldEvent, OldStep};
+use mulleinslip_takeover::protocol::{HandoverState, NewProcess, NewStep, OldEvent, OldProcess, OldStep};
 use std::cell::RefCell;
 use std::collections::HashSet;
 use std::io::{self, ErrorKind};
@@ -42,12 +42,12 @@
 /// What came with the folder, if another process had it.
 pub struct TakenOver {
     pub channel: Channel,
-    pub offer: Offer,
+    pub offer: HandoverState,
     pub listener: Option<TcpListener>,
 }
 
 /// Opens the folder, and takes over from a process that serves from it.
-pub async fn open(folder: &Path, most: u64) -> io::Result<(Journal, Left, Option<TakenOver>)> {
+pub async fn open(folder: &Path, most: u64) -> io::Result<(Journal, RecoveredState, Option<TakenOver>)> {
     let start = Instant::now();
     let mut said = false;
     loop {
@@ -73,9 +73,9 @@
 
 async fn ask(
     channel: Channel, version: u16, folder: &Path, most: u64,
-) -> io::Result<(Journal, Left, TakenOver)> {
+) -> io::Result<(Journal, RecoveredState, TakenOver)> {
     channel.send(&ToOld::Ask { version }, None).await?;
-    let (mut new, mut listener, mut opened) = (New::default(), None, None);
+    let (mut new, mut listener, mut opened) = (NewProcess::default(), None, None);
     loop {
         let heard =
             timeout(NEXT, channel.receive()).await.map_err(|_| io::Error::from(ErrorKind::TimedOut))??;
@@ -85,7 +85,7 @@
             NewStep::Open => {
                 listener = with.map(TcpListener::from);
                 opened = Some(Journal::open(folder.to_path_buf(), most)?);
-                channel.send(&ToOld::Taken, None).await?;
+                channel.send(&ToOld::FolderOpened, None).await?;
             }
             NewStep::Serve(offer) => {
                 let (journal, left) = opened.ok_or_else(|| io::Error::other("the folder is not open"))?;
@@ -106,7 +106,7 @@
         let heard = tokio::select! {
             biased;
             Some((id, attempt)) = call_offs.recv() => {
-                let _gone = channel.send(&ToOld::CallOff { id, attempt }, None).await;
+                let _gone = channel.send(&ToOld::CancelAttempt { id, attempt }, None).await;
                 continue;
             }
             heard = channel.receive() => heard,
@@ -114,14 +114,14 @@
         match heard {
             Ok(Some((ToNew::Client { unread }, Some(fd)))) => {
                 let clients = clients.clone();
-                let passed = Passed { stream: TcpStream::from(fd), unread };
+                let passed = HandedOverConnection { stream: TcpStream::from(fd), unread };
                 spawn_local(async move {
                     if let Err(e) = clients.take_over(passed).await {
                         log(&format!("a client's connection: {e}"));
                     }
                 });
             }
-            Ok(Some((ToNew::Waits(rows), _))) => heed(&carrier, &rows),
+            Ok(Some((ToNew::RetryAfters(rows), _))) => restore_retry_afters(&carrier, &rows),
             Ok(Some((ToNew::Host { endpoint, idle_ms }, Some(fd)))) => {
                 let idle = Duration::from_secs_f64(idle_ms.clamp(0.0, 1e9) / 1000.0);
                 if let Err(e) = carrier.take_over_idle(&endpoint, idle, fd).await {
@@ -130,10 +130,10 @@
             }
             Ok(Some((ToNew::Ended(e), _))) => {
                 if out.remove(&(e.id, e.attempt)) {
-                    let Ended { id, attempt, took_ms, outcome, settled, answered, wait_ms, report } = e;
+                    let AttemptEnd { id, attempt, took_ms, outcome, settled, answered, wait_ms, report } = e;
                     let response = answered.then_some(());
-                    let end = Came { outcome, settled, wait_ms, report, response };
-                    handle.ended(EndedHere { id, attempt, took_ms, end });
+                    let end = EngineAttemptEnd { outcome, settled, wait_ms, report, response };
+                    handle.ended(ForwardedEnd { id, attempt, took_ms, end });
                 }
             }
             Ok(Some(_)) => log("the process before this one doesn't keep to the protocol"),
@@ -147,13 +147,13 @@
     }
     // It is gone, or can't be understood: what it had out may have run.
     for (id, attempt) in out {
-        let end = Came::bare(linenhall::Outcome::Broken);
-        handle.ended(EndedHere { id, attempt, took_ms: 0.0, end });
+        let end = EngineAttemptEnd::without_response(linenhall::Outcome::Broken);
+        handle.ended(ForwardedEnd { id, attempt, took_ms: 0.0, end });
     }
 }
 
 /// What the old process has learnt. A part that can't be read is left out: it is of use, and nothing depends on it.
-pub fn learnt(offer: &Offer) -> Vec<linenhall::Learnt> {
+pub fn learnt(offer: &HandoverState) -> Vec<linenhall::Learnt> {
     let read = offer.learnt.iter().filter_map(|part| match serde_json::from_str(part) {
         Ok(part) => Some(part),
         Err(e) => {
@@ -166,7 +166,7 @@
 
 /// What `agent` told, the newest last, and the version that is held. The old process's may be newer than the one just asked
 /// for, or the only one there is.
-pub fn lists(offer: &Offer, first: Option<List>, agent: SocketAddr) -> (Vec<List>, Option<u64>) {
+pub fn lists(offer: &HandoverState, first: Option<List>, agent: SocketAddr) -> (Vec<List>, Option<u64>) {
     let mut passed: Option<List> = None;
     for (_, part) in offer.list.iter().filter(|(told_by, _)| *told_by == agent.to_string()) {
         match serde_json::from_str::<List>(part) {
@@ -185,11 +185,11 @@
 }
 
 /// Has the carrier heed waits as they stand in a frame.
-pub fn heed(carrier: &HttpCarrier, rows: &[(u64, String, f64)]) {
+pub fn restore_retry_afters(carrier: &HttpCarrier, rows: &[(u64, String, f64)]) {
     let spans = rows
         .iter()
         .map(|(dest, host, ms)| (*dest, host.clone(), Duration::from_secs_f64(ms.clamp(0.0, 1e9) / 1000.0)));
-    carrier.heed(&spans.collect::<Vec<_>>());
+    carrier.restore_retry_afters(&spans.collect::<Vec<_>>());
 }
 
 /// Hosts of a list that is passed on.
@@ -215,7 +215,7 @@
     /// Waits for a process that takes over, and serves it until there is nothing left to pass on. Gives up only if
     /// the socket can't be opened.
     pub async fn wait(self) {
-        let door = match Door::open(&self.folder) {
+        let door = match TakeoverListener::open(&self.folder) {
             Ok(door) => door,
             Err(e) => {
                 return log(&format!("takeover: {e}; a new process will have to wait for this one's end"))
@@ -240,9 +240,9 @@
     }
 
     async fn meet(&self, channel: Channel) -> io::Result<()> {
-        let mut old = Old::default();
+        let mut old = OldProcess::default();
         let mut next = hear(&channel).await;
-        let speaks = if let OldEvent::Heard(ToOld::Ask { version }) = next { version } else { 0 };
+        let speaks = if let OldEvent::Received(ToOld::Ask { version }) = next { version } else { 0 };
         loop {
             next = match old.on(next) {
                 OldStep::Wait => hear(&channel).await,
@@ -258,31 +258,31 @@
                         Err(_) => OldEvent::Lost,
                     }
                 }
-                OldStep::Tell => match self.tell(&channel, speaks).await {
+                OldStep::SendState => match self.tell(&channel, speaks).await {
                     Ok(()) => hear(&channel).await,
                     Err(_) => OldEvent::Lost,
                 },
-                OldStep::Pass => {
+                OldStep::HandOver => {
                     self.operator.passed();
                     // Even if it does not hear this, it has the folder: nothing may be written here any more.
                     let _gone = channel.send(&ToNew::Go, None).await;
                     log("another process goes on");
                     return self.pass(&channel, &mut old, speaks).await;
                 }
-                OldStep::Refuse(why) => return channel.send(&ToNew::No(why.into()), None).await,
+                OldStep::Refuse(why) => return channel.send(&ToNew::Rejected(why.into()), None).await,
                 OldStep::Retake => {
                     drop(channel);
                     self.retake().await;
                     return Err(io::Error::other("broke off; this process goes on"));
                 }
-                OldStep::CallOff(..) | OldStep::End => return Ok(()),
+                OldStep::CancelAttempt(..) | OldStep::Exit => return Ok(()),
             };
         }
     }
 
     async fn tell_out(&self, channel: &Channel, out: &[(u64, u32)]) {
         for rows in out.chunks(ROWS) {
-            let _gone = channel.send(&ToNew::Out(rows.to_vec()), None).await;
+            let _gone = channel.send(&ToNew::AttemptsInFlight(rows.to_vec()), None).await;
         }
     }
 
@@ -304,16 +304,16 @@
             let text = serde_json::to_string(part).map_err(io::Error::other)?;
             channel.send(&ToNew::Learnt(text), None).await?;
         }
-        let drained = self.intake.away.get() > mulleinslip_http::Away::No;
+        let drained = self.intake.away.get() > mulleinslip_http::DrainMode::No;
         channel.send(&ToNew::Ready { drained }, Some(self.listener.as_fd())).await
     }
 
     async fn tell_waits(&self, channel: &Channel) -> io::Result<()> {
-        let waits = self.carrier.waits().into_iter();
+        let waits = self.carrier.retry_afters().into_iter();
         let rows: Vec<_> =
             waits.map(|(dest, host, left)| (dest, host, left.as_secs_f64() * 1000.0)).collect();
         for rows in rows.chunks(ROWS) {
-            channel.send(&ToNew::Waits(rows.to_vec()), None).await?;
+            channel.send(&ToNew::RetryAfters(rows.to_vec()), None).await?;
         }
         Ok(())
     }
@@ -334,7 +334,7 @@
     }
 
     /// Passes on connections as nothing is due on them, and the ends of attempts that are out.
-    async fn pass(&self, channel: &Channel, old: &mut Old, speaks: u16) -> io::Result<()> {
+    async fn pass(&self, channel: &Channel, old: &mut OldProcess, speaks: u16) -> io::Result<()> {
         let (tell_ended, mut ended) = unbounded_channel();
         let (tell_passed, mut passed) = unbounded_channel();
         self.handle.pass(tell_ended);
@@ -350,7 +350,7 @@
             }
             tokio::select! {
                 biased;
-                Some(Passed { stream, unread }) = passed.recv() => {
+                Some(HandedOverConnection { stream, unread }) = passed.recv() => {
                     channel.send(&ToNew::Client { unread }, Some(stream.as_fd())).await?;
                 }
                 end = ended.recv(), if calls => match end {
@@ -358,8 +358,8 @@
                     None => calls = false,
                 },
                 heard = receive(channel) => match old.on(heard) {
-                    OldStep::CallOff(id, attempt) => drop(self.handle.call_off(id, attempt)),
-                    OldStep::End => return Ok(()),
+                    OldStep::CancelAttempt(id, attempt) => drop(self.handle.cancel(id, attempt)),
+                    OldStep::Exit => return Ok(()),
                     _ => {}
                 },
                 () = sleep(LOOK) => {}
@@ -368,14 +368,14 @@
         Ok(())
     }
 
-    async fn tell_ended(&self, channel: &Channel, end: EndedHere<()>) -> io::Result<()> {
-        let EndedHere { id, attempt, took_ms, end } = end;
-        let Came { outcome, settled, wait_ms, report, response } = end;
+    async fn tell_ended(&self, channel: &Channel, end: ForwardedEnd<()>) -> io::Result<()> {
+        let ForwardedEnd { id, attempt, took_ms, end } = end;
+        let EngineAttemptEnd { outcome, settled, wait_ms, report, response } = end;
         if wait_ms > 0.0 {
             self.tell_waits(channel).await?;
         }
         let answered = response.is_some();
-        let ended = Ended { id, attempt, took_ms, outcome, settled, answered, wait_ms, report };
+        let ended = AttemptEnd { id, attempt, took_ms, outcome, settled, answered, wait_ms, report };
         channel.send(&ToNew::Ended(ended), None).await
     }
 }
@@ -387,7 +387,7 @@
 
 async fn receive(channel: &Channel) -> OldEvent {
     match channel.receive::<ToOld>().await {
-        Ok(Some((frame, _))) => OldEvent::Heard(frame),
+        Ok(Some((frame, _))) => OldEvent::Received(frame),
         Ok(None) | Err(_) => OldEvent::Lost,
     }
 }
--- a/crates/daemon/tests/alike.rs
+++ b/crates/daemon/tests/alike.rs
@@ -137,7 +137,7 @@
                 *unseen.entry(id).or_default() += usize::from(status == 429 || status == 503);
             }
             // What was turned away came first, and has not run.
-            for call in host.heard() {
+            for call in host.received() {
                 match unseen.get_mut(call.id()).filter(|n| **n > 0) {
                     Some(n) => *n -= 1,
                     None => runs.entry(call.id().into()).or_default().push(call.at),
@@ -203,7 +203,7 @@
 const CLIENTS: usize = 16;
 
 /// Hands the messages in at their times; gives the status of each answer.
-fn hand_in(to: std::net::SocketAddr, messages: &[Message]) -> HashMap<String, u16> {
+fn submit(to: std::net::SocketAddr, messages: &[Message]) -> HashMap<String, u16> {
     let start = Instant::now();
     let parts: Vec<Vec<Message>> =
         (0..CLIENTS).map(|c| messages.iter().skip(c).step_by(CLIENTS).cloned().collect()).collect();
@@ -246,7 +246,7 @@
     agent.hold(EMPTY);
     agent.list("refusing", REFUSING, ([127, 0, 0, 1], 9).into(), "active");
     let relay = Relay::with(PROGRAM, settings(agent.address), &agent);
-    until("the list", || (relay.hand_in("safe", "m999999", WELL).status() == 202).then_some(()));
+    until("the list", || (relay.submit("safe", "m999999", WELL).status() == 202).then_some(()));
     world.begin();
     let recorder = record.then(|| Recorder::start(relay.address, Vec::new()).unwrap());
     let drains = (agent.clone(), world.address("drains"));
@@ -254,7 +254,7 @@
         std::thread::sleep(DRAIN_AT);
         drains.0.list("drains", DRAINING, drains.1, "leaving");
     });
-    let statuses = hand_in(recorder.as_ref().map_or(relay.address, |r| r.address), messages);
+    let statuses = submit(recorder.as_ref().map_or(relay.address, |r| r.address), messages);
     drain.join().unwrap();
     let recorded = recorder.and_then(|r| r.finish().unwrap()).unwrap_or_default();
     let mut ends = Ends::new();
@@ -304,7 +304,7 @@
     let host = |(name, dest, h): &(&str, u64, Host)| TowerHost::new(*name, *dest, h.address.to_string());
     let mut hosts: Vec<TowerHost> = world.hosts.iter().map(host).collect();
     hosts.push(TowerHost::new("refusing", REFUSING, "127.0.0.1:9"));
-    hosts.push(TowerHost::new("empty", EMPTY, "127.0.0.1:9").state(linenhall::Listed::Leaving));
+    hosts.push(TowerHost::new("empty", EMPTY, "127.0.0.1:9").state(linenhall::EndpointStatus::Draining));
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     let http = hyper_util::client::legacy::Client::builder(TokioExecutor::new())
@@ -329,7 +329,7 @@
     let drain = std::thread::spawn(move || {
         std::thread::sleep(DRAIN_AT);
         let host = TowerHost::new("drains", DRAINING, drains.to_string());
-        endpoints.changed(vec![host.state(linenhall::Listed::Leaving)]);
+        endpoints.changed(vec![host.state(linenhall::EndpointStatus::Draining)]);
     });
     let calls: Vec<_> = messages
         .iter()
--- a/crates/daemon/tests/closes.rs
+++ b/crates/daemon/tests/closes.rs
@@ -18,7 +18,7 @@
 fn client(relay: &Relay, used: bool, n: usize) -> Client {
     let mut client = relay.client();
     if used {
-        assert_eq!(client.hand_in("safe", &format!("used-{n}"), 1, 4000, b"").status(), 202);
+        assert_eq!(client.submit("safe", &format!("used-{n}"), 1, 4000, b"").status(), 202);
     }
     client
 }
@@ -42,9 +42,9 @@
     let host = Host::ok();
     let agent = Agent::new(&[("a", 1, &host)]);
     let relay = Relay::start(PROGRAM, &agent);
-    relay.take_once_listed("safe", "listed", 1);
+    relay.submit_accepted_once_listed("safe", "listed", 1);
     agent.hold(2);
-    relay.take_once_listed("safe", "held", 2);
+    relay.submit_accepted_once_listed("safe", "held", 2);
     let rows =
         [(true, 100u64), (true, 440), (true, 450), (true, 460), (true, 650), (false, 440), (false, 650)];
     let clients: Vec<_> = rows.iter().enumerate().map(|(n, row)| client(&relay, row.0, n)).collect();
@@ -74,10 +74,10 @@
     let agent = Agent::new(&[("a", 1, &host)]);
     for owed in [true, false] {
         let mut relay = Relay::start(PROGRAM, &agent);
-        relay.take_once_listed("safe", "listed", 1);
+        relay.submit_accepted_once_listed("safe", "listed", 1);
         if owed {
             agent.hold(2);
-            relay.take_once_listed("safe", "held", 2);
+            relay.submit_accepted_once_listed("safe", "held", 2);
         }
         relay.terminate();
         until("the signal", || relay.logged("SIGTERM").then_some(()));
@@ -98,7 +98,7 @@
     let mut config = config(agent.address);
     config["control"] = serde_json::json!("127.0.0.1:0");
     let relay = Relay::with(PROGRAM, config, &agent);
-    relay.take_once_listed("safe", "listed", 1);
+    relay.submit_accepted_once_listed("safe", "listed", 1);
     let (at_idle, at_all) = (client(&relay, true, 1), client(&relay, true, 2));
     assert_eq!(relay.call("drain-on"), "+OK\n");
     let told = Instant::now();
@@ -131,7 +131,7 @@
     let mut config = config(agent.address);
     config["limits"]["sockets"] = serde_json::json!(36 + 20 + 2 * 8);
     let relay = Relay::with(PROGRAM, config, &agent);
-    relay.take_once_listed("safe", "listed", 1);
+    relay.submit_accepted_once_listed("safe", "listed", 1);
     let mut first = relay.client();
     // The answer to the first comes along with half of the second one: idle by the turn of answers, not by the bytes.
     let whole = [b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n", FIRST_HALF].concat();
@@ -139,14 +139,14 @@
     assert_eq!(first.answer().map(|a| a.status()), Some(200));
     let idle: Vec<_> = (0..7).map(|_| relay.client()).collect();
     // One more comes in, so one of the idle ones has gone.
-    assert_eq!(relay.hand_in("safe", "more", 1).status(), 202);
+    assert_eq!(relay.submit("safe", "more", 1).status(), 202);
     first.send(REST);
     assert_eq!(first.answer().map(|a| a.status()), Some(202));
     drop(idle);
     let mut busy: Vec<_> = (0..8).map(|_| relay.client()).collect();
     busy.iter_mut().for_each(|c| c.send(FIRST_HALF));
     std::thread::sleep(Duration::from_millis(50));
-    assert_eq!(relay.hand_in("safe", "another", 1).status(), 202);
+    assert_eq!(relay.submit("safe", "another", 1).status(), 202);
     let mut statuses: Vec<_> = busy.iter_mut().filter_map(|c| c.answer()).map(|a| a.status()).collect();
     statuses.sort();
     // One at once, for its place; the others when they had taken too long.
--- a/crates/daemon/tests/control.rs
+++ b/crates/daemon/tests/control.rs
@@ -30,7 +30,7 @@
     relay.take("keyed", "again", 1);
     until("its end", || (relay.figure(&handled("keyed", "passed")) == 1).then_some(()));
     // No such destination, refused at once.
-    assert_eq!(relay.hand_in("safe", "nowhere", 9).status(), 503);
+    assert_eq!(relay.submit("safe", "nowhere", 9).status(), 503);
     // Taken on and waiting, as the only host drains.
     relay.take("ordered", "waits", 2);
     let vars = relay.call("vars");
@@ -106,7 +106,7 @@
     let agent = Agent::new(&[("a", 1, &host)]);
     let relay = Relay::start(PROGRAM, &agent);
     let mut used = relay.client();
-    assert_eq!(used.hand_in("safe", "before", 1, 4000, b"").status(), 202);
+    assert_eq!(used.submit("safe", "before", 1, 4000, b"").status(), 202);
     let (mut idle, mut half) = (relay.client(), relay.client());
     half.send(b"POST /safe HTTP/1.1\r\nX-Call-Id: half");
     assert_eq!(health(&relay), 200);
@@ -117,7 +117,7 @@
     assert_eq!(relay.call("drain-on"), "+OK\n", "said twice it is the same");
     // Clients go on using what they have: each message is taken on, and one of the answers is the last.
     let last = (0..).find(|n| {
-        let answer = used.hand_in("safe", &format!("m{n}"), 1, 4000, b"");
+        let answer = used.submit("safe", &format!("m{n}"), 1, 4000, b"");
         assert_eq!(answer.status(), 202);
         std::thread::sleep(Duration::from_millis(20));
         answer.header("connection") == "close"
@@ -137,7 +137,7 @@
     assert_eq!(health(&relay), 200);
     let mut back = relay.client();
     for n in 0..3 {
-        let answer = back.hand_in("safe", &format!("after{n}"), 1, 4000, b"");
+        let answer = back.submit("safe", &format!("after{n}"), 1, 4000, b"");
         assert_eq!((answer.status(), answer.header("connection")), (202, ""));
     }
     let ended = last.unwrap_or(0) + 1 + 4;
@@ -155,7 +155,7 @@
     let start = Instant::now();
     // Past the time at which the drain would have had answers close connections, and past its end.
     for n in 0.. {
-        let answer = client.hand_in("safe", &format!("m{n}"), 1, 4000, b"");
+        let answer = client.submit("safe", &format!("m{n}"), 1, 4000, b"");
         assert_eq!((answer.status(), answer.header("connection")), (202, ""));
         if start.elapsed() > Duration::from_millis(3800) {
             break;
--- a/crates/daemon/tests/doubles.rs
+++ b/crates/daemon/tests/doubles.rs
@@ -11,7 +11,7 @@
 #[test]
 fn a_repeat_whose_connection_comes_up_after_the_window_is_not_sent() {
     let first = Host::new(|_, _| Reply::Fails(300));
-    let next = Host::deaf(900, |_, _| Reply::Status(200));
+    let next = Host::unresponsive(900, |_, _| Reply::Status(200));
     let agent = Agent::new(&[("first", 1, &first)]);
     let mut config = config(agent.address);
     config["settings"]["Profiles"][1]["DedupWindowMs"] = json!(800.0);
@@ -66,7 +66,7 @@
     relay.take("keyed", "n", 1);
     let (stream, _) = listener.accept().unwrap();
     let mut stream = BufReader::new(stream);
-    let call = mulleinslip_testkit::hear(&mut stream, 0).unwrap();
+    let call = mulleinslip_testkit::receive(&mut stream, 0).unwrap();
     assert_eq!(call.id(), "n");
     // Given up by the relay: a reset, and not the end of a stream.
     let end = stream.read(&mut [0; 1]);
@@ -117,6 +117,6 @@
     second.take("keyed", "m", 1);
     until("deliveries", || (host.all_answered().len() == 2).then_some(()));
     std::thread::sleep(Duration::from_millis(300));
-    let keys: Vec<String> = host.heard().iter().map(|h| h.header("Idempotency-Key").to_string()).collect();
+    let keys: Vec<String> = host.received().iter().map(|h| h.header("Idempotency-Key").to_string()).collect();
     assert_eq!(keys, ["key-m"; 3], "the lost one, its repeat, and the other relay's");
 }
--- a/crates/daemon/tests/drains.rs
+++ b/crates/daemon/tests/drains.rs
@@ -61,11 +61,11 @@
     // It serves from the list that it knows, less what left.
     relay.take("safe", "new", 1);
     std::thread::sleep(Duration::from_millis(700));
-    assert_eq!(gone.heard().len(), 1, "what was sent before, and nothing since");
+    assert_eq!(gone.received().len(), 1, "what was sent before, and nothing since");
     agent.list("host", 1, host.address, "active");
     agent.set_down(false);
     until("deliveries", || (host.delivered("owed") && host.delivered("new")).then_some(()));
-    assert_eq!(gone.heard().len(), 1);
+    assert_eq!(gone.received().len(), 1);
 }
 
 /// SIGHUP moves discovery to an agent that has not heard yet that a host leaves.
@@ -83,7 +83,7 @@
     until("a watch there", || (second.watches() > 0).then_some(()));
     relay.take("safe", "m", 1);
     std::thread::sleep(Duration::from_millis(300));
-    assert_eq!(gone.heard().len(), 0, "the agent that lags is not believed yet");
+    assert_eq!(gone.received().len(), 0, "the agent that lags is not believed yet");
     second.list("host", 1, host.address, "active");
     until("a delivery", || host.delivered("m").then_some(()));
     // It hears of it as well, and later that the host is there again: its own word counts.
@@ -108,7 +108,7 @@
     until("a delivery", || host.delivered("m").then_some(()));
     // Its first list counts, and has the host no more.
     heard(&second, || second.list("other", 2, host.address, "active"));
-    assert_eq!(relay.hand_in("safe", "n", 1).status(), 202, "held: the destination may get a host yet");
+    assert_eq!(relay.submit("safe", "n", 1).status(), 202, "held: the destination may get a host yet");
     assert_eq!(second.wait_notice("n")["status"], "deferred");
     assert_eq!(host.calls_of("n"), 0);
 }
@@ -134,13 +134,13 @@
     assert!(since.elapsed() < Duration::from_secs(4), "not after the call that nobody answers");
     relay.take("safe", "m", 1);
     until("a delivery", || host.delivered("m").then_some(()));
-    assert_eq!(gone.heard().len(), 0);
+    assert_eq!(gone.received().len(), 0);
 }
 
 /// A host leaves while a connection to it comes up, and while a call waits for a slot.
 #[test]
 fn a_host_that_leaves_while_a_connection_comes_up_is_sent_nothing() {
-    let gone = Host::deaf(400, |_, _| Reply::Status(200));
+    let gone = Host::unresponsive(400, |_, _| Reply::Status(200));
     let host = Host::ok();
     let agent = Agent::new(&[("gone", 1, &gone)]);
     let mut config = config(agent.address);
@@ -154,5 +154,5 @@
     heard(&agent, || agent.list("gone", 1, gone.address, "leaving"));
     heard(&agent, || agent.list("host", 1, host.address, "active"));
     until("deliveries", || ["m", "n", "o"].iter().all(|id| host.delivered(id)).then_some(()));
-    assert_eq!(gone.heard().len(), 0, "its connection came up after it had been told to be leaving");
+    assert_eq!(gone.received().len(), 0, "its connection came up after it had been told to be leaving");
 }
--- a/crates/daemon/tests/endings.rs
+++ b/crates/daemon/tests/endings.rs
@@ -13,15 +13,15 @@
         agent.hold(1);
         agent.reply_to_notices(vec![500; 10_000]);
         let mut relay = Relay::start(PROGRAM, &agent);
-        assert_eq!(relay.client().hand_in("ordered/k", "first", 1, 100, b"").status(), 202);
-        assert_eq!(relay.client().hand_in("ordered/k", "second", 1, 5000, b"").status(), 202);
+        assert_eq!(relay.client().submit("ordered/k", "first", 1, 100, b"").status(), 202);
+        assert_eq!(relay.client().submit("ordered/k", "second", 1, 5000, b"").status(), 202);
         assert_eq!(agent.wait_notice("first")["status"], "deferred");
         if kill {
             relay = relay.killed(|_| {});
         }
         agent.list("a", 1, host.address, "active");
         // Where one of another key goes, the second could have gone as well.
-        relay.take_once_listed("ordered/other", "other", 1);
+        relay.submit_accepted_once_listed("ordered/other", "other", 1);
         until("the other key's delivery", || host.delivered("other").then_some(()));
         assert_eq!(host.calls_of("second"), 0, "killed: {kill}");
         agent.reply_to_notices(Vec::new());
@@ -43,7 +43,7 @@
     let relay = Relay::with(PROGRAM, config.clone(), &agent);
     let mut client = relay.client();
     for n in 0..MANY {
-        assert_eq!(client.hand_in("unsafe", &format!("m{n}"), 1, 5000, b"order").status(), 202);
+        assert_eq!(client.submit("unsafe", &format!("m{n}"), 1, 5000, b"order").status(), 202);
     }
     let relay = relay.killed(|_| {});
     config["settings"]["Limits"]["MaxOpen"] = serde_json::json!(50);
@@ -70,11 +70,11 @@
     relay.take("safe", "tried", 1);
     relay.take("keyed", "no-class", 1);
     assert_eq!(
-        relay.client().hand_in("safe", "overdue", 1, 1, b"").status(),
+        relay.client().submit("safe", "overdue", 1, 1, b"").status(),
         503,
         "it ends in its first round"
     );
-    assert_eq!(relay.client().hand_in("safe", "late", 1, 400, b"").status(), 202);
+    assert_eq!(relay.client().submit("safe", "late", 1, 400, b"").status(), 202);
     let relay = relay.killed(|journal| {
         std::thread::sleep(std::time::Duration::from_millis(450));
         let file = journal.parent().and_then(|state| state.parent()).unwrap().join("config.json");
@@ -127,7 +127,7 @@
     }
     settings["Safety"]["OrderPauseMs"] = serde_json::Value::Null;
     let relay = Relay::with(PROGRAM, config, &agent);
-    relay.take_once_listed("keyed", "m", 1);
+    relay.submit_accepted_once_listed("keyed", "m", 1);
     until("the delivery", || host.delivered("m").then_some(()));
 }
 
@@ -141,14 +141,14 @@
     until("a watch", || (agent.watches() > 0).then_some(()));
     for _ in 0..2 {
         let watched = agent.watches();
-        agent.hush();
+        agent.silence();
         let silent = std::time::Instant::now();
         until("another watch", || (agent.watches() > watched).then_some(()));
         // Time out, pause and connection take 3.2 s; 5 s are room for a slow machine.
         assert!(silent.elapsed().as_millis() < 5000, "{:?} after the silence began", silent.elapsed());
     }
     let watched = agent.watches();
-    agent.hush();
+    agent.silence();
     let silent = std::time::Instant::now();
     agent.list("a", 1, old.address, "leaving");
     agent.list("b", 1, new.address, "active");
--- a/crates/daemon/tests/late.rs
+++ b/crates/daemon/tests/late.rs
@@ -25,7 +25,7 @@
         let host = Host::new(|_, _| Reply::Late(ANSWER_MS));
         let agent = Agent::new(&[("a", 1, &host)]);
         let relay = Relay::start(PROGRAM, &agent);
-        assert_eq!(relay.client().hand_in(class, "m", 1, BUDGET_MS, b"order").status(), 202);
+        assert_eq!(relay.client().submit(class, "m", 1, BUDGET_MS, b"order").status(), 202);
         agent.wait_notice("m");
         assert_eq!(host.calls_of("m"), 1, "{class}: it is not sent again");
     }
@@ -38,7 +38,7 @@
     let agent = Agent::new(&[("a", 1, &host)]);
     agent.reply_to_notices(vec![500; 10_000]);
     let relay = Relay::start(PROGRAM, &agent);
-    assert_eq!(relay.client().hand_in("unsafe", "m", 1, BUDGET_MS, b"order").status(), 202);
+    assert_eq!(relay.client().submit("unsafe", "m", 1, BUDGET_MS, b"order").status(), 202);
     until("a first notice", || (!agent.notices_of("m").is_empty()).then_some(()));
     let told = agent.notices_of("m").len();
     let _next = relay.killed(|_| agent.reply_to_notices(Vec::new()));
@@ -63,7 +63,7 @@
     let host = Host::new(|_, _| Reply::Late(ANSWER_MS));
     let agent = Agent::new(&[("a", 1, &host)]);
     let mut old = Relay::start(PROGRAM, &agent);
-    assert_eq!(old.client().hand_in("unsafe", "m", 1, BUDGET_MS, b"order").status(), 202);
+    assert_eq!(old.client().submit("unsafe", "m", 1, BUDGET_MS, b"order").status(), 202);
     host.wait_calls(1);
     let _new = old.beside();
     agent.wait_notice("m");
@@ -76,13 +76,13 @@
     let host = Host::new(|_, n| if n.is_multiple_of(3) { Reply::Late(15) } else { Reply::Status(200) });
     let agent = Agent::new(&[("a", 1, &host)]);
     let relay = Relay::start(PROGRAM, &agent);
-    relay.take_once_listed("safe", "first", 1);
+    relay.submit_accepted_once_listed("safe", "first", 1);
     let mut client = relay.client();
     let mut taken = Vec::new();
     for (n, budget_ms) in (1..=50).enumerate() {
         let class = ["safe", "unsafe", "ordered/k"][n % 3];
         let id = format!("m{budget_ms}");
-        match client.hand_in(class, &id, 1, budget_ms, b"order").status() {
+        match client.submit(class, &id, 1, budget_ms, b"order").status() {
             202 => taken.push(id),
             status => assert_eq!(status, 503, "{id}"),
         }
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -18,10 +18,10 @@
     let mut config = config(agent.address);
     config["limits"]["sockets"] = json!(80);
     let relay = Relay::with(PROGRAM, config, &agent);
-    relay.take_once_listed("safe", "first", 1);
+    relay.submit_accepted_once_listed("safe", "first", 1);
     until("a watch", || (agent.watches() > 0).then_some(()));
     agent.set_down(true);
-    agent.hush();
+    agent.silence();
     let filled = Instant::now();
     let mut idle: Vec<Client> = Vec::new();
     // Whoever is let go for having been idle comes again.
@@ -32,7 +32,7 @@
     }
     let id = "short";
     until("a client among them", || {
-        let heard = std::panic::catch_unwind(|| relay.client().hand_in("safe", id, 2, 300, &[1; 60_000]));
+        let heard = std::panic::catch_unwind(|| relay.client().submit("safe", id, 2, 300, &[1; 60_000]));
         heard.ok().filter(|a| a.status() == 202)
     });
     assert_eq!(agent.wait_notice(id)["status"], "deferred", "given up, and told");
@@ -43,7 +43,7 @@
     let calls = agent.calls();
     until("a call for the list", || (agent.calls() > calls).then_some(()));
     assert!(back.elapsed() < Duration::from_secs(6), "{:?} after the return", back.elapsed());
-    relay.take_once_listed("safe", "last", 1);
+    relay.submit_accepted_once_listed("safe", "last", 1);
     until("its delivery", || (new.delivered("last") || old.delivered("last")).then_some(()));
     relay.take("safe", "later", 1);
     until("its delivery by the new list", || new.delivered("later").then_some(()));
@@ -59,11 +59,11 @@
     let mut config = config(agent.address);
     config["settings"]["Limits"]["MaxOpen"] = json!(5000);
     let relay = Relay::with(PROGRAM, config, &agent);
-    relay.take_once_listed("safe", "first", 1);
+    relay.submit_accepted_once_listed("safe", "first", 1);
     let (mut client, mut taken) = (relay.client(), 0);
     // Until the folder takes no more; bodies of 4 kB.
     for n in 0..4000 {
-        let answer = client.hand_in("unsafe", &format!("m{n}"), 1, 60_000, &[7; 4096]);
+        let answer = client.submit("unsafe", &format!("m{n}"), 1, 60_000, &[7; 4096]);
         if answer.status() != 202 {
             break;
         }
@@ -75,7 +75,7 @@
     assert!(taken > 200, "{taken} taken on");
     let size = std::fs::metadata(relay.journal()).map_or(0, |m| m.len());
     agent.set_down(true);
-    agent.hush();
+    agent.silence();
     let began = Instant::now();
     let relay = relay.killed(|_| {});
     let mut probe = relay.client();
@@ -107,7 +107,7 @@
             agent.wait_notice("k");
             assert_eq!(host.calls_of("k"), 1, "its window was over");
         }
-        for heard in host.heard().iter().filter(|h| h.id() == "k").skip(1) {
+        for heard in host.received().iter().filter(|h| h.id() == "k").skip(1) {
             assert!(heard.at - first < Duration::from_millis(1050), "{:?} after the first", heard.at - first);
         }
         drop(relay);
--- a/crates/daemon/tests/relay.rs
+++ b/crates/daemon/tests/relay.rs
@@ -12,7 +12,7 @@
     let agent = Agent::new(&[("a", 7, &host)]);
     let relay = Relay::start(PROGRAM, &agent);
     let body: Vec<u8> = (0..=255).cycle().take(64 * 1024).collect();
-    let answer = relay.client().hand_in("keyed", "m1", 7, 4000, &body);
+    let answer = relay.client().submit("keyed", "m1", 7, 4000, &body);
     assert_eq!(answer.status(), 202);
     let call = host.wait_calls(1).remove(0);
     assert_eq!(call.line, "POST /inbox HTTP/1.1");
@@ -35,7 +35,7 @@
     client.send(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(client.answer().unwrap().status(), 200);
     for n in 0..5 {
-        assert_eq!(client.hand_in("safe", &format!("k{n}"), 1, 4000, b"").status(), 202);
+        assert_eq!(client.submit("safe", &format!("k{n}"), 1, 4000, b"").status(), 202);
         host.wait_calls(n + 1);
     }
     host.wait_reuse(&relay, 1);
@@ -147,7 +147,7 @@
         relay.take("safe", &format!("m{n}"), 1);
     }
     new.wait_calls(6);
-    assert_eq!(old.heard().len(), 1);
+    assert_eq!(old.received().len(), 1);
 }
 
 /// A host may close an idle connection at any time: an unsafe message written to one would be lost.
@@ -184,7 +184,7 @@
         let relay = Relay::start(PROGRAM, &agent);
         let mut client = relay.client();
         for n in 0..4 {
-            assert_eq!(client.hand_in(key_in, &format!("m{n}"), 1, 4000, b"").status(), 202);
+            assert_eq!(client.submit(key_in, &format!("m{n}"), 1, 4000, b"").status(), 202);
         }
         let calls = host.wait_calls(5);
         let order: Vec<_> = calls.iter().map(|c| c.id().to_string()).collect();
@@ -205,7 +205,7 @@
     fine.wait_calls(1);
     relay.take("safe", "held", 3);
     // In one message's short time nobody takes it: given up, and its notice fails.
-    assert_eq!(relay.client().hand_in("safe", "unheard", 3, 30, b"").status(), 202);
+    assert_eq!(relay.client().submit("safe", "unheard", 3, 30, b"").status(), 202);
     agent.wait_notice("unheard");
     for class in ["safe", "keyed", "unsafe"] {
         relay.take(class, &format!("out-{class}"), 1);
@@ -243,8 +243,8 @@
     let mut config = config(agent.address);
     config["settings"]["Safety"]["OrderPauseMs"] = json!(800.0);
     let relay = Relay::with(PROGRAM, config, &agent);
-    relay.client().hand_in("ordered/k", "m0", 1, 4000, b"");
-    relay.client().hand_in("ordered/k", "m1", 1, 4000, b"");
+    relay.client().submit("ordered/k", "m0", 1, 4000, b"");
+    relay.client().submit("ordered/k", "m1", 1, 4000, b"");
     host.wait_calls(1);
     let mut killed = Instant::now();
     let _relay = relay.killed(|_| killed = Instant::now());
@@ -263,12 +263,12 @@
     let watched = agent.watches();
     agent.list("a", 1, new.address, "active");
     until("the next watch", || (agent.watches() > watched).then_some(()));
-    let before = old.heard().len();
+    let before = old.received().len();
     for n in 0..4 {
         relay.take("safe", &format!("m{n}"), 1);
     }
     new.wait_calls(4);
-    assert_eq!(old.heard().len(), before);
+    assert_eq!(old.received().len(), before);
 }
 
 #[test]
@@ -291,7 +291,7 @@
     let agent = Agent::new(&[]);
     agent.hold(1);
     let relay = Relay::start(PROGRAM, &agent);
-    assert_eq!(relay.client().hand_in("safe", "m", 1, 300, b"").status(), 202);
+    assert_eq!(relay.client().submit("safe", "m", 1, 300, b"").status(), 202);
     let _relay = relay.killed(|_| std::thread::sleep(Duration::from_millis(400)));
     assert_eq!(agent.wait_notice("m")["status"], "deferred");
 }
@@ -333,7 +333,7 @@
     let relay = Relay::with(PROGRAM, config, &agent);
     let body = vec![7; 40_000];
     let mut client = relay.client();
-    let answers: Vec<_> = (0..12).map(|n| client.hand_in("safe", &format!("m{n}"), 1, 4000, &body)).collect();
+    let answers: Vec<_> = (0..12).map(|n| client.submit("safe", &format!("m{n}"), 1, 4000, &body)).collect();
     let taken = answers.iter().filter(|a| a.status() == 202).count();
     assert!(taken > 2 && taken < 12, "{taken} of 12 fit");
     let refused = answers.iter().find(|a| a.status() == 503).unwrap();
@@ -343,7 +343,7 @@
     host.wait_calls(taken);
     for n in 12..40 {
         until("room", || {
-            (client.hand_in("safe", &format!("m{n}"), 1, 4000, &body).status() == 202).then_some(())
+            (client.submit("safe", &format!("m{n}"), 1, 4000, &body).status() == 202).then_some(())
         });
         let files = std::fs::read_dir(relay.folder.join("state")).unwrap();
         let used: u64 = files.flatten().filter_map(|f| f.metadata().ok()).map(|m| m.len()).sum();
@@ -358,7 +358,7 @@
     let mut config = config(agent.address);
     config["settings"]["Limits"]["MaxOpen"] = json!(4);
     let relay = Relay::with(PROGRAM, config, &agent);
-    let statuses: Vec<_> = (0..8).map(|n| relay.hand_in("safe", &format!("m{n}"), 1).status()).collect();
+    let statuses: Vec<_> = (0..8).map(|n| relay.submit("safe", &format!("m{n}"), 1).status()).collect();
     let taken: Vec<_> = (0..8).filter(|n| statuses[*n] == 202).collect();
     assert!(taken.len() < 8 && statuses.iter().all(|s| [202, 503].contains(s)), "{statuses:?}");
     // Each that was taken on and then had to make room was told so at once.
@@ -372,13 +372,13 @@
     let agent = Agent::new(&[("a", 1, &host)]);
     let mut relay = Relay::start(PROGRAM, &agent);
     let mut kept = relay.client();
-    assert_eq!(kept.hand_in("unsafe", "out", 1, 4000, b"").status(), 202);
+    assert_eq!(kept.submit("unsafe", "out", 1, 4000, b"").status(), 202);
     host.wait_calls(1);
     relay.terminate();
     until("the signal", || relay.logged("SIGTERM").then_some(()));
     // On a kept connection as on a new one.
     for client in [&mut kept, &mut relay.client()] {
-        let answer = client.hand_in("safe", "late", 1, 4000, b"");
+        let answer = client.submit("safe", "late", 1, 4000, b"");
         assert_eq!((answer.status(), answer.header("Connection")), (503, "close"));
         let mut rest = Vec::new();
         assert_eq!(client.0.read_to_end(&mut rest).unwrap(), 0, "closed, with no more said");
@@ -400,7 +400,7 @@
     let mut config = config(agent.address);
     config["settings"]["Profiles"][2]["DeadlineMs"] = json!(60_000.0);
     let mut relay = Relay::with(PROGRAM, config, &agent);
-    relay.client().hand_in("unsafe", "held", 1, 60_000, b"");
+    relay.client().submit("unsafe", "held", 1, 60_000, b"");
     relay.terminate();
     until("the signal", || relay.logged("SIGTERM").then_some(()));
     let mut client = relay.client();
@@ -427,11 +427,11 @@
     }
     until("the outage", || relay.logged("destination 1 out").then_some(()));
     let mut before = 0;
-    let relay = relay.killed(|_| before = host.heard().len());
+    let relay = relay.killed(|_| before = host.received().len());
     // What the first round sent has come before this.
     relay.take("safe", "marker", 2);
     fine.wait_calls(1);
-    let after = host.heard().len() - before;
+    let after = host.received().len() - before;
     assert!(after <= 1, "{after} calls at once to a destination that is out");
 }
 
@@ -441,10 +441,10 @@
     agent.hold(1);
     agent.reply_to_notices(vec![500, 503, 500]);
     let relay = Relay::start(PROGRAM, &agent);
-    assert_eq!(relay.client().hand_in("safe", "m", 1, 50, b"").status(), 202);
+    assert_eq!(relay.client().submit("safe", "m", 1, 50, b"").status(), 202);
     until("four notices", || (agent.notices_of("m").len() == 4).then_some(()));
     // Confirmed, it is not sent again: another message's notice comes without it.
-    assert_eq!(relay.client().hand_in("safe", "n", 1, 50, b"").status(), 202);
+    assert_eq!(relay.client().submit("safe", "n", 1, 50, b"").status(), 202);
     agent.wait_notice("n");
     let all = agent.notices_of("m");
     assert_eq!((all.len(), &all[0]["status"]), (4, &json!("deferred")));
@@ -495,7 +495,7 @@
     let mut half = relay.client();
     half.send(b"POST /safe HTTP/1.1\r\nX-Call-Id: half\r\nContent-Le");
     drop(half);
-    assert!(host.heard().is_empty());
+    assert!(host.received().is_empty());
     relay.take("safe", "good", 1);
     host.wait_calls(1);
 }
@@ -526,9 +526,9 @@
     relay.take("safe", "m", 1);
     first.wait_calls(1);
     agent.list("b", 2, second.address, "active");
-    assert_eq!(relay.hand_in("safe", "early", 2).status(), 503, "in no list that the relay has");
+    assert_eq!(relay.submit("safe", "early", 2).status(), 503, "in no list that the relay has");
     agent.set_down(false);
-    relay.take_once_listed("safe", "n", 2);
+    relay.submit_accepted_once_listed("safe", "n", 2);
     second.wait_calls(1);
     assert_eq!(second.calls_of("n"), 1);
 }
@@ -583,7 +583,7 @@
     let mut config = config(old.address);
     let relay = Relay::with(PROGRAM, config.clone(), &old);
     until("a watch", || (old.watches() > 0).then_some(()));
-    assert_eq!(relay.client().hand_in("safe", "ended", 1, 30, b"").status(), 202);
+    assert_eq!(relay.client().submit("safe", "ended", 1, 30, b"").status(), 202);
     old.wait_notice("ended");
     let file = relay.folder.join("config.json");
     // What can't be read changes nothing, and is told in one line.
@@ -608,7 +608,7 @@
     // What comes there is watched too, and nothing goes to the old address any more.
     let over = (old.watches(), old.notices_of("ended").len());
     new.list("b", 3, host.address, "active");
-    relay.take_once_listed("safe", "n", 3);
+    relay.submit_accepted_once_listed("safe", "n", 3);
     host.wait_calls(2);
     assert_eq!(over, (old.watches(), old.notices_of("ended").len()));
 }
@@ -662,7 +662,7 @@
     }
     relay.take("safe", "last", 1);
     host.wait_calls(1);
-    assert_eq!(host.heard().iter().map(|h| h.id().to_string()).collect::<Vec<_>>(), ["last"]);
+    assert_eq!(host.received().iter().map(|h| h.id().to_string()).collect::<Vec<_>>(), ["last"]);
 }
 
 /// A client that says nothing, stops half way, or has been served and stays, is let go; one that asks within its
@@ -690,7 +690,7 @@
     }
     let mut client = relay.client();
     for id in ["m0", "m1"] {
-        assert_eq!(client.hand_in("safe", id, 1, 4000, b"").status(), 202);
+        assert_eq!(client.submit("safe", id, 1, 4000, b"").status(), 202);
         let mut byte = [0];
         client.0.get_mut().set_read_timeout(Some(Duration::from_millis(1700))).unwrap();
         assert!(client.0.read(&mut byte).is_err(), "kept for 2 s");
@@ -730,9 +730,9 @@
     config["limits"]["sockets"] = json!(64);
     let relay = Relay::with(PROGRAM, config, &agent);
     let mut first = relay.client();
-    assert_eq!(first.hand_in("safe", "m0", 1, 4000, b"").header("Connection"), "");
+    assert_eq!(first.submit("safe", "m0", 1, 4000, b"").header("Connection"), "");
     let _crowd: Vec<_> = (0..12).map(|_| relay.client()).collect();
-    let answer = relay.hand_in("safe", "m1", 1);
+    let answer = relay.submit("safe", "m1", 1);
     assert_eq!((answer.status(), answer.header("Connection")), (202, "close"));
     host.wait_calls(2);
 }
@@ -742,11 +742,11 @@
     let host = Host::ok();
     let agent = Agent::new(&[]);
     let relay = Relay::start(PROGRAM, &agent);
-    let answer = relay.hand_in("safe", "m", 7);
+    let answer = relay.submit("safe", "m", 7);
     assert_eq!(answer.status(), 503);
     assert!(answer.header("Retry-After").parse::<f64>().unwrap() > 0.0, "told when to come back");
     agent.list("a", 7, host.address, "active");
-    relay.take_once_listed("safe", "m", 7);
+    relay.submit_accepted_once_listed("safe", "m", 7);
     host.wait_calls(1);
     assert_eq!(host.calls_of("m"), 1);
 }
@@ -803,11 +803,11 @@
         // Each comes until it is answered: the next round finds those connections idle.
         until("six answers", || ids.iter().all(|id| host.answered(id)).then_some(()));
     }
-    let resets = host.heard().len() - host.served();
+    let resets = host.received().len() - host.served();
     assert!(resets >= 12, "{resets} calls met a dead connection");
     assert!(!relay.logged("out:"));
     until("an unsafe message on a dead connection", || {
-        let id = format!("u{}", host.heard().len());
+        let id = format!("u{}", host.received().len());
         relay.take("unsafe", &id, 1);
         until("its call", || (host.calls_of(&id) > 0).then_some(()));
         let done = until("its end", || {
@@ -852,7 +852,9 @@
 
 /// Hands in a hundred messages, one after the other and so at 40 a second at most, then `last`, and then a rush;
 /// returns how many of the rush go out within 200 ms.
-fn rush_after(script: impl Fn(&Heard) -> Option<Reply> + Send + Sync + 'static, last: &[&str]) -> usize {
+fn rush_after(
+    script: impl Fn(&ReceivedRequest) -> Option<Reply> + Send + Sync + 'static, last: &[&str],
+) -> usize {
     const RUSH: usize = 46;
     let host = Host::new(move |call, _| {
         let late = if call.id().starts_with("rush") { 400 } else { 25 };
@@ -864,14 +866,14 @@
     config["settings"]["Limits"]["MaxOpen"] = json!(200);
     let relay = Relay::with(PROGRAM, config, &agent);
     let mut client = relay.client();
-    let mut take = |id: &str| assert_eq!(client.hand_in("safe", id, 1, 4000, b"").status(), 202);
+    let mut take = |id: &str| assert_eq!(client.submit("safe", id, 1, 4000, b"").status(), 202);
     let steady: Vec<_> = (0..100).map(|n| format!("m{n}")).collect();
     for id in steady.iter().map(String::as_str).chain(last.iter().copied()) {
         take(id);
         until("its answer", || (host.calls_of(id) > 0 && host.answered(id)).then_some(()));
     }
     (0..RUSH).for_each(|n| take(&format!("rush{n}")));
-    let of_rush = || host.heard().into_iter().filter(|h| h.id().starts_with("rush")).map(|h| h.at);
+    let of_rush = || host.received().into_iter().filter(|h| h.id().starts_with("rush")).map(|h| h.at);
     until("the rush", || (of_rush().count() >= RUSH).then_some(()));
     let first = of_rush().min().expect("the rush");
     of_rush().filter(|at| *at - first < Duration::from_millis(200)).count()
@@ -887,7 +889,7 @@
 fn a_pace_that_was_not_used_does_not_grow() {
     const REPORT: &str = "X-Load-Report: {\"x0\":0.5,\"x1\":40}\r\n";
     let refused = std::sync::atomic::AtomicBool::default();
-    let first = move |call: &Heard| match call.id() {
+    let first = move |call: &ReceivedRequest| match call.id() {
         "m0" if !refused.swap(true, std::sync::atomic::Ordering::SeqCst) => Some(Reply::With(503, REPORT)),
         "m1" => Some(Reply::With(200, REPORT)),
         _ => None,
@@ -902,7 +904,7 @@
     const HIGH: &str = "X-Load-Report: {\"x0\":0.5,\"x1\":4000}\r\n";
     const LOW: &str = "X-Load-Report: {\"x0\":0.0,\"x1\":40}\r\n";
     let refused = std::sync::Mutex::new(std::collections::HashSet::new());
-    let twice = move |call: &Heard| match call.id() {
+    let twice = move |call: &ReceivedRequest| match call.id() {
         "m0" if refused.lock().unwrap().insert(0) => Some(Reply::With(503, HIGH)),
         "full" if refused.lock().unwrap().insert(1) => Some(Reply::With(503, LOW)),
         "m1" => Some(Reply::With(200, LOW)),
@@ -930,6 +932,6 @@
         "one call, and that a watch, which tells what was missed"
     );
     agent.set_down(false);
-    relay.take_once_listed("safe", "m", 1);
+    relay.submit_accepted_once_listed("safe", "m", 1);
     until("a delivery", || host.delivered("m").then_some(()));
 }
--- a/crates/daemon/tests/scale.rs
+++ b/crates/daemon/tests/scale.rs
@@ -29,11 +29,11 @@
     let agent = Agent::new(&[]);
     listed(&agent, &old, 1..=MANY);
     let relay = relay(&agent);
-    relay.take_once_listed("safe", "first", 1);
+    relay.submit_accepted_once_listed("safe", "first", 1);
     // The last was never used, and the first is forgotten by then: both were told to be left while nobody asked for them.
     let mut client = relay.client();
     for dest in 1..=MANY {
-        assert_eq!(client.hand_in("unsafe", &format!("a{dest}"), dest, 4000, b"x").status(), 202, "{dest}");
+        assert_eq!(client.submit("unsafe", &format!("a{dest}"), dest, 4000, b"x").status(), 202, "{dest}");
         if dest % 50 == 0 {
             until("their deliveries", || (old.served() as u64 > dest).then_some(()));
         }
@@ -51,9 +51,9 @@
     }
     // Destinations that are gone are not known, used before or not.
     agent.unlist(&["h7", "h1499"]);
-    until("unknown", || (relay.hand_in("safe", "c7", 7).status() == 503).then_some(()));
-    assert_eq!(relay.hand_in("safe", "c1499", 1499).status(), 503);
-    assert_eq!(old.heard().iter().filter(|h| h.id().starts_with('a')).count() as u64, MANY, "each once");
+    until("unknown", || (relay.submit("safe", "c7", 7).status() == 503).then_some(()));
+    assert_eq!(relay.submit("safe", "c1499", 1499).status(), 503);
+    assert_eq!(old.received().iter().filter(|h| h.id().starts_with('a')).count() as u64, MANY, "each once");
 }
 
 /// What a restart finds is of destinations that nobody has asked the new process for yet.
@@ -63,7 +63,7 @@
     let agent = Agent::new(&[]);
     listed(&agent, &old, 1..=MANY);
     let first = relay(&agent);
-    first.take_once_listed("safe", "s", 1);
+    first.submit_accepted_once_listed("safe", "s", 1);
     (0..5u64).for_each(|n| first.take("safe", &format!("m{n}"), MANY - n));
     let next = first.killed(|_| listed(&agent, &host, 1..=MANY));
     until("their deliveries", || (0..5).all(|n| host.delivered(&format!("m{n}"))).then_some(()));
@@ -73,7 +73,7 @@
 /// A wait that was told outlasts what makes room for others.
 #[test]
 fn a_destination_that_told_a_wait_is_not_forgotten_before_it_is_over() {
-    let script = |heard: &Heard, _: usize| match heard.id() {
+    let script = |heard: &ReceivedRequest, _: usize| match heard.id() {
         "w" => Reply::With(429, "Retry-After: 2.000\r\n"),
         _ => Reply::Status(200),
     };
@@ -81,13 +81,13 @@
     let agent = Agent::new(&[]);
     listed(&agent, &host, 1..=MANY);
     let relay = relay(&agent);
-    relay.take_once_listed("safe", "s", 1);
+    relay.submit_accepted_once_listed("safe", "s", 1);
     relay.take("unsafe", "w", 2);
     until("the wait", || host.answered("w").then_some(()));
     let told = std::time::Instant::now();
     let mut client = relay.client();
     for dest in 3..1200 {
-        assert_eq!(client.hand_in("safe", &format!("a{dest}"), dest, 4000, b"x").status(), 202);
+        assert_eq!(client.submit("safe", &format!("a{dest}"), dest, 4000, b"x").status(), 202);
     }
     assert!(told.elapsed().as_millis() < 1700, "all others were used within the wait: {:?}", told.elapsed());
     relay.take("safe", "later", 2);
@@ -102,9 +102,9 @@
     let agent = Agent::new(&[]);
     listed(&agent, &host, 1..=MANY);
     let relay = relay(&agent);
-    relay.take_once_listed("safe", "s", 1);
+    relay.submit_accepted_once_listed("safe", "s", 1);
     agent.list("h1", MANY - 1, host.address, "active");
-    until("unknown", || (relay.hand_in("safe", "x", 1).status() == 503).then_some(()));
+    until("unknown", || (relay.submit("safe", "x", 1).status() == 503).then_some(()));
     relay.take("safe", "moved", MANY - 1);
     until("its delivery", || host.delivered("moved").then_some(()));
     assert!(agent.notices_of("moved").is_empty());
--- a/crates/daemon/tests/takeover.rs
+++ b/crates/daemon/tests/takeover.rs
@@ -1,5 +1,5 @@
 //! One process takes over from another, under load and at the worst moments.
-use mulleinslip_takeover::channel::{Channel, Door};
+use mulleinslip_takeover::channel::{Channel, TakeoverListener};
 use mulleinslip_takeover::message::{ToNew, ToOld, FIRST_VERSION, VERSION};
 use mulleinslip_testkit::*;
 use std::collections::HashMap;
@@ -39,7 +39,7 @@
     for (n, (client, cut)) in clients.iter_mut().zip(cuts).enumerate() {
         // Every other one has had an answer before.
         if n % 2 == 1 {
-            assert_eq!(client.hand_in("safe", &format!("before{n}"), 1, 4000, b"").status(), 202);
+            assert_eq!(client.submit("safe", &format!("before{n}"), 1, 4000, b"").status(), 202);
         }
         client.send(&request(&format!("cut{n}"), 1, &body)[..cut]);
     }
@@ -52,7 +52,7 @@
     for (n, (client, cut)) in clients.iter_mut().zip(cuts).enumerate() {
         client.send(&request(&format!("cut{n}"), 1, &body)[cut..]);
         assert_eq!(client.answer().expect("not closed").status(), 202, "cut at {cut}");
-        let again = client.hand_in("safe", &format!("after{n}"), 1, 4000, b"");
+        let again = client.submit("safe", &format!("after{n}"), 1, 4000, b"");
         assert_eq!(again.status(), 202, "and it is kept");
     }
     let calls = host.wait_calls(taken + 2 * cuts.len());
@@ -84,7 +84,7 @@
     let new = old.beside();
     assert_eq!(old.call("check"), "-ERR another process goes on\n");
     assert_eq!(new.figure("edge_router_in_progress"), 3, "all that is owed is the new process's");
-    assert_eq!(new.hand_in("unsafe", "late", 1).status(), 202, "known: nothing is handed in twice");
+    assert_eq!(new.submit("unsafe", "late", 1).status(), 202, "known: nothing is handed in twice");
     looked.store(true, Ordering::SeqCst);
     let passed = "edge_router_handled_total{category=\"unsafe\",outcome=\"passed\"}";
     until("the end of the late one", || (new.figure(passed) == 1).then_some(()));
@@ -152,7 +152,10 @@
     loop {
         match channel.receive::<ToNew>().await.unwrap() {
             Some((ToNew::Ready { .. }, listener)) => return listener.is_some(),
-            Some((ToNew::Out(_) | ToNew::Waits(_) | ToNew::Learnt(_) | ToNew::List { .. }, None)) => {}
+            Some((
+                ToNew::AttemptsInFlight(_) | ToNew::RetryAfters(_) | ToNew::Learnt(_) | ToNew::List { .. },
+                None,
+            )) => {}
             other => panic!("{other:?}"),
         }
     }
@@ -166,14 +169,14 @@
     relay.take("unsafe", "out", 1);
     host.wait_calls(1);
     let mut client = relay.client();
-    assert_eq!(client.hand_in("safe", "before", 1, 4000, b"").status(), 202);
+    assert_eq!(client.submit("safe", "before", 1, 4000, b"").status(), 202);
     // Another version, noise, and nothing at all.
     let ask = ToOld::Ask { version: VERSION + 1 };
     let said = asks(&relay, async |c| {
         c.send(&ask, None).await.unwrap();
         c.receive::<ToNew>().await.unwrap()
     });
-    assert!(matches!(said, Some((ToNew::No(_), None))), "{said:?}");
+    assert!(matches!(said, Some((ToNew::Rejected(_), None))), "{said:?}");
     asks(&relay, async |c| c.send(&[255u8; 9], None).await.unwrap());
     asks(&relay, async |_| {});
     // Ready, and then it dies; or it holds the folder for a while, and then dies.
@@ -196,7 +199,7 @@
     assert_eq!((host.calls_of("out"), host.calls_of("meanwhile0"), host.calls_of("meanwhile1")), (1, 1, 1));
     // And all of it is in the folder.
     agent.hold(2);
-    relay.take_once_listed("safe", "kept", 2);
+    relay.submit_accepted_once_listed("safe", "kept", 2);
     let relay = relay.killed(|_| {});
     agent.list("b", 2, host.address, "active");
     until("the kept one", || (host.calls_of("kept") == 1).then_some(()));
@@ -235,7 +238,7 @@
         relay.take("safe", &format!("m{n}"), 1);
     }
     next.wait_calls(6);
-    assert_eq!(host.heard().len(), 1, "a host that drains gets nothing new");
+    assert_eq!(host.received().len(), 1, "a host that drains gets nothing new");
     until("all ends", || (relay.figure("edge_router_in_progress") == 0).then_some(()));
 }
 
@@ -307,7 +310,7 @@
     assert!(taken.len() > 150 && taken.len() <= asked, "{} of {asked} taken", taken.len());
     until("all ends", || (relay.figure("edge_router_in_progress") == 0).then_some(()));
     let mut calls: HashMap<String, usize> = HashMap::new();
-    host.heard().iter().for_each(|h| *calls.entry(h.id().to_string()).or_default() += 1);
+    host.received().iter().for_each(|h| *calls.entry(h.id().to_string()).or_default() += 1);
     for id in &taken {
         assert_eq!(calls.get(id), Some(&1), "{id}: each is delivered, and once");
     }
@@ -353,11 +356,11 @@
         loop {
             match c.receive::<ToNew>().await.unwrap() {
                 Some((ToNew::Ready { .. }, Some(_))) => break,
-                Some((ToNew::Out(_) | ToNew::Waits(_), None)) => {}
+                Some((ToNew::AttemptsInFlight(_) | ToNew::RetryAfters(_), None)) => {}
                 other => panic!("{other:?}"),
             }
         }
-        c.send(&ToOld::Taken, None).await.unwrap();
+        c.send(&ToOld::FolderOpened, None).await.unwrap();
         let go = c.receive::<ToNew>().await.unwrap();
         assert!(matches!(go, Some((ToNew::Go, None))), "{go:?}");
         while let Ok(Some((frame, _))) = c.receive::<ToNew>().await {
@@ -386,7 +389,7 @@
     let asked = std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         runtime.block_on(async {
-            let door = Door::open(&folder).unwrap();
+            let door = TakeoverListener::open(&folder).unwrap();
             let mut versions = Vec::new();
             loop {
                 let channel = door.accept().await.unwrap();
@@ -395,13 +398,13 @@
                 };
                 versions.push(version);
                 if version != FIRST_VERSION {
-                    channel.send(&ToNew::No("another version".into()), None).await.unwrap();
+                    channel.send(&ToNew::Rejected("another version".into()), None).await.unwrap();
                     continue;
                 }
                 lock.unlock().unwrap();
                 channel.send(&ToNew::Ready { drained: false }, Some(listener.as_fd())).await.unwrap();
                 let taken = channel.receive::<ToOld>().await.unwrap();
-                assert!(matches!(taken, Some((ToOld::Taken, _))), "{taken:?}");
+                assert!(matches!(taken, Some((ToOld::FolderOpened, _))), "{taken:?}");
                 channel.send(&ToNew::Go, None).await.unwrap();
                 return versions;
             }
@@ -434,7 +437,7 @@
         new.take("safe", &format!("m{n}"), 1);
     }
     next.wait_calls(5);
-    assert_eq!(first.heard().len(), 1, "it drains");
+    assert_eq!(first.received().len(), 1, "it drains");
     // And what is told once discovery is back counts.
     agent.set_down(false);
     agent.list("next", 1, next.address, "leaving");
@@ -463,12 +466,12 @@
         let next = relay.beside();
         change.join().unwrap();
         until("the news", || (next.figure("edge_router_skipped_hosts") == n as u64).then_some(()));
-        let before = hosts[n - 1].heard().len();
+        let before = hosts[n - 1].received().len();
         for m in 0..4 {
             next.take("safe", &format!("after{n}-{m}"), 1);
         }
         hosts[n].wait_calls(4);
-        assert_eq!(hosts[n - 1].heard().len(), before, "h{} drains", n - 1);
+        assert_eq!(hosts[n - 1].received().len(), before, "h{} drains", n - 1);
         relay = next;
     }
     let mut client = relay.client();
@@ -493,8 +496,8 @@
     let mut relay = Relay::with(PROGRAM, config, &agent);
     let mut regular = relay.client();
     for n in 0..3 {
-        assert_eq!(regular.hand_in("safe", &format!("out{n}"), 1, 20000, b"").status(), 202);
-        assert_eq!(regular.hand_in("safe", &format!("held{n}"), 2, 20000, b"").status(), 202);
+        assert_eq!(regular.submit("safe", &format!("out{n}"), 1, 20000, b"").status(), 202);
+        assert_eq!(regular.submit("safe", &format!("held{n}"), 2, 20000, b"").status(), 202);
     }
     let crowd = |address| {
         let half = request("half", 1, &[7; 300]);
--- a/crates/demo/src/demo.rs
+++ b/crates/demo/src/demo.rs
@@ -40,10 +40,10 @@
     println!("the relay listens on {}, with a journal in {}", relay.address, relay.folder.display());
     println!("{:>7}  {:<8} {:<7} answer", "ms", "message", "class");
     let at = || start.elapsed().as_millis();
-    until("the list", || (relay.hand_in("safe", "first", NORTH).status() == 202).then_some(()));
+    until("the list", || (relay.submit("safe", "first", NORTH).status() == 202).then_some(()));
     let mut open = Vec::new();
     for (id, class, dest, budget, shows) in MESSAGES {
-        let heard = relay.client().hand_in(class, id, dest, budget, b"tyres, 4 of them");
+        let heard = relay.client().submit(class, id, dest, budget, b"tyres, 4 of them");
         let words = match heard.status() {
             202 => "202, taken on".to_string(),
             status => format!("{status}, come again in {} s", heard.header("retry-after")),
--- a/crates/engine/src/places.rs
+++ b/crates/engine/src/destination_table.rs
@@ -1,7 +1,7 @@
 //! Which destinations the list has, or had so lately that hosts of theirs may follow: what is handed in for
 //! another is turned away before the module sees it.
 
-use linenhall::{Discovery, Endpoint, Listed};
+use linenhall::{Endpoint, EndpointStatus, ListUpdate};
 use std::collections::{HashMap, VecDeque};
 
 #[derive(Default)]
@@ -13,7 +13,7 @@
 
 /// A change costs its own length; only a whole list costs all that is held.
 #[derive(Default)]
-pub struct Places {
+pub struct DestinationTable {
     /// Where each host belongs.
     hosts: HashMap<String, u64>,
     places: HashMap<u64, Place>,
@@ -21,28 +21,28 @@
     gone: VecDeque<(f64, u64)>,
 }
 
-impl Places {
+impl DestinationTable {
     /// `keep_ms`: for so long a destination without hosts still counts.
-    pub fn learn(&mut self, news: &Discovery, now: f64, keep_ms: f64) {
+    pub fn learn(&mut self, news: &ListUpdate, now: f64, keep_ms: f64) {
         match news {
-            Discovery::Whole(list) | Discovery::Cached(list) => {
+            ListUpdate::Full(list) | ListUpdate::Cached(list) => {
                 // Joined before anything is left: a destination that keeps a host was never without one.
                 let mut before = std::mem::take(&mut self.hosts);
-                for e in list.iter().filter(|e| e.listed != Listed::Gone) {
+                for e in list.iter().filter(|e| e.status != EndpointStatus::Removed) {
                     self.join(e);
                 }
                 before.drain().for_each(|(_, from)| self.leave(from, now, keep_ms));
             }
-            Discovery::Changes(changes) => {
+            ListUpdate::Delta(changes) => {
                 for e in changes {
-                    let before = match e.listed {
-                        Listed::Gone => self.hosts.remove(&e.name),
+                    let before = match e.status {
+                        EndpointStatus::Removed => self.hosts.remove(&e.name),
                         _ => self.join(e),
                     };
                     before.into_iter().for_each(|from| self.leave(from, now, keep_ms));
                 }
             }
-            Discovery::Failed => {}
+            ListUpdate::Failed => {}
         }
         self.forget(now);
     }
@@ -103,25 +103,25 @@
 mod tests {
     use super::*;
 
-    fn host(name: &str, destination: u64, listed: Listed) -> Endpoint {
-        Endpoint { name: name.into(), destination, zone: 0, kind: 0, weight: 1.0, listed }
+    fn host(name: &str, destination: u64, listed: EndpointStatus) -> Endpoint {
+        Endpoint { name: name.into(), destination, zone: 0, kind: 0, weight: 1.0, status: listed }
     }
 
     #[test]
     fn a_destination_counts_while_it_has_hosts_and_a_while_after() {
-        let mut p = Places::default();
-        let (a, b) = (host("a", 1, Listed::Active), host("b", 2, Listed::Leaving));
-        p.learn(&Discovery::Whole(vec![a.clone(), b.clone()]), 0.0, 10.0);
+        let mut p = DestinationTable::default();
+        let (a, b) = (host("a", 1, EndpointStatus::Active), host("b", 2, EndpointStatus::Draining));
+        p.learn(&ListUpdate::Full(vec![a.clone(), b.clone()]), 0.0, 10.0);
         assert!(p.knows(1, 1e9) && p.knows(2, 1e9) && !p.knows(3, 0.0));
         // The same list once more, and one without b.
-        p.learn(&Discovery::Whole(vec![a.clone(), b]), 5.0, 10.0);
-        p.learn(&Discovery::Whole(vec![a.clone()]), 20.0, 10.0);
+        p.learn(&ListUpdate::Full(vec![a.clone(), b]), 5.0, 10.0);
+        p.learn(&ListUpdate::Full(vec![a.clone()]), 20.0, 10.0);
         assert!(p.knows(2, 29.9) && !p.knows(2, 30.0) && p.knows(1, 30.0));
         // A host that moves to another destination, gone and back and gone.
-        p.learn(&Discovery::Changes(vec![host("a", 3, Listed::Active)]), 40.0, 10.0);
+        p.learn(&ListUpdate::Delta(vec![host("a", 3, EndpointStatus::Active)]), 40.0, 10.0);
         assert!(p.knows(3, 45.0) && p.knows(1, 45.0));
-        p.learn(&Discovery::Changes(vec![a]), 46.0, 10.0);
-        p.learn(&Discovery::Changes(vec![host("a", 1, Listed::Gone)]), 48.0, 10.0);
+        p.learn(&ListUpdate::Delta(vec![a]), 46.0, 10.0);
+        p.learn(&ListUpdate::Delta(vec![host("a", 1, EndpointStatus::Removed)]), 48.0, 10.0);
         assert!(p.knows(1, 57.9), "gone for the second time at 48");
         assert!(!p.knows(1, 58.0) && !p.knows(3, 58.0));
         assert!(p.hosts.is_empty() && p.places.is_empty() && p.gone.is_empty());
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,15 +1,15 @@
 //! Events in, the module's actions out, and what is kept in between, in the order that the crate's page states.
 
-use crate::message::{Attempt, Ended, Final, Input, Message, Output, Told, Turned};
+use crate::destination_table::DestinationTable;
+use crate::message::{Attempt, AttemptEnd, FinalAnswer, FrontReply, Input, Message, Output, Rejection};
 use crate::open::{Ledger, Open, Out};
-use crate::places::Places;
 use crate::store::Store;
 use crate::tally::Tally;
 use crate::timers::Timers;
 use crate::untried::Untried;
 
 use linenhall::{Action, Effect, Event, Outage, Outcome, Relay, Settings};
-use mulleinslip_journal::{KeptOutage, Taken, Verdict};
+use mulleinslip_journal::{AcceptedMessage, GivenUp, OutageRecord};
 use std::collections::HashMap;
 use std::fmt;
 
@@ -37,24 +37,24 @@
 
 /// Why an attempt must not be begun.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Held {
+pub enum AttemptBlocked {
     /// Nobody waits for it any more.
-    CalledOff,
+    Cancelled,
     /// It took so long to get here that it might no longer be dropped as a repeat, or its time is over.
     TooLate,
     /// Another process goes on with what was taken on, see [`Engine::release`].
     Released,
     /// The store could not keep it, for this reason.
-    NotKept(String),
+    NotStored(String),
 }
 
-impl fmt::Display for Held {
+impl fmt::Display for AttemptBlocked {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Held::Released => f.write_str("left to another process"),
-            Held::CalledOff => f.write_str("called off"),
-            Held::TooLate => f.write_str("too late to be sent"),
-            Held::NotKept(why) => write!(f, "journal: {why}; attempt not made"),
+            AttemptBlocked::Released => f.write_str("left to another process"),
+            AttemptBlocked::Cancelled => f.write_str("called off"),
+            AttemptBlocked::TooLate => f.write_str("too late to be sent"),
+            AttemptBlocked::NotStored(why) => write!(f, "journal: {why}; attempt not made"),
         }
     }
 }
@@ -68,7 +68,7 @@
 /// A message that the module has not answered for.
 struct Asking<T> {
     id: u64,
-    taken: Taken,
+    taken: AcceptedMessage,
     ticket: T,
 }
 
@@ -82,7 +82,7 @@
     tally: Tally,
     /// What the start found untried.
     untried: Untried,
-    places: Places,
+    destination_table: DestinationTable,
     /// For so long a destination without hosts may yet get one in time for what is taken on for it.
     replaced_within_ms: f64,
     timers: Timers,
@@ -99,13 +99,13 @@
 
 /// What an earlier process that still runs tells of itself, beside what the store has.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Alive {
+pub struct Predecessor {
     /// It does: what it has taken on and not tried has waited for its turn, and is not found by a restart.
-    pub lives: bool,
+    pub is_running: bool,
     /// Attempts that it makes to their end: message and number. Each end comes as [`Input::Ended`].
-    pub out: Vec<(u64, u32)>,
+    pub attempts_in_flight: Vec<(u64, u32)>,
     /// Waits that it was told: destination, endpoint where endpoints are routes apart and else empty, until when.
-    pub waits: Vec<(u64, String, f64)>,
+    pub retry_afters: Vec<(u64, String, f64)>,
     /// What its module has learnt, in parts, see [`Engine::learnt`].
     pub learnt: Vec<linenhall::Learnt>,
 }
@@ -116,14 +116,14 @@
         let tally = Tally::new(settings.classes.len());
         let longest = settings.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
         Engine {
-            relay: Relay::new(Settings { ends_told: true, ..settings.clone() }, seed),
+            relay: Relay::new(Settings { confirms_answers: true, ..settings.clone() }, seed),
             settings,
             names,
             store,
             open: Ledger::default(),
             tally,
             untried: Untried::default(),
-            places: Places::default(),
+            destination_table: DestinationTable::default(),
             replaced_within_ms: longest.clamp(0.0, 1e9),
             timers: Timers::default(),
             outages: 0,
@@ -169,7 +169,7 @@
         let (mut events, mut asking) = (Vec::new(), Vec::new());
         for input in inputs {
             match input {
-                Input::Handed(message, ticket) => {
+                Input::Submitted(message, ticket) => {
                     self.handed(now, *message, ticket, &mut events, &mut asking, out)
                 }
                 Input::Withdrawn { id } => events.extend(self.withdrawn(id, out)),
@@ -179,11 +179,11 @@
                 Input::Probed { endpoint, outcome, took_ms, report } => {
                     events.push(Event::Probed { endpoint, outcome, took_ms, report });
                 }
-                Input::Listed(list) => {
-                    self.places.learn(&list, now, self.replaced_within_ms);
-                    events.push(Event::Discovery(list));
+                Input::ListUpdate(list) => {
+                    self.destination_table.learn(&list, now, self.replaced_within_ms);
+                    events.push(Event::ListUpdate(list));
                 }
-                Input::Confirmed(ids) => {
+                Input::AnswersConfirmed(ids) => {
                     events.extend(ids.into_iter().filter_map(|id| self.confirmed(id, out)));
                 }
                 Input::Stop { calls_end_at } => {
@@ -204,11 +204,11 @@
     /// Forgets a destination and its hosts, if nothing is held, out or owed there, and nothing is known that binds a later call.
     /// Whoever names it next has its hosts listed first. Whether it was forgotten; `None` for one that is not known.
     pub fn forget(&mut self, now: f64, destination: u64) -> Option<bool> {
-        if self.released || !self.places.may_forget(destination) {
+        if self.released || !self.destination_table.may_forget(destination) {
             return Some(false);
         }
         let hosts = self.relay.forget(now, destination)?;
-        self.places.forget_all(destination, hosts.iter().flatten());
+        self.destination_table.forget_all(destination, hosts.iter().flatten());
         Some(hosts.is_ok())
     }
 
@@ -239,19 +239,21 @@
 
     /// The first byte of an attempt is about to go out. On an error it must not, and the attempt ends as one that
     /// was never sent. To be asked again where a connection was of no use and another one had to come up.
-    pub fn begin(&mut self, now: f64, id: u64, attempt: u32, endpoint: &str) -> Result<(), Held> {
+    pub fn begin(&mut self, now: f64, id: u64, attempt: u32, endpoint: &str) -> Result<(), AttemptBlocked> {
         let out = self.open.get_mut(id).and_then(|o| o.out.iter_mut().find(|x| x.attempt == attempt));
         if self.released {
-            return Err(Held::Released);
+            return Err(AttemptBlocked::Released);
         }
-        let Some(out) = out.filter(|x| !x.called_off) else { return Err(Held::CalledOff) };
+        let Some(out) = out.filter(|x| !x.called_off) else { return Err(AttemptBlocked::Cancelled) };
         if now >= out.begin_by {
-            return Err(Held::TooLate);
+            return Err(AttemptBlocked::TooLate);
         }
         if out.begun {
             return Ok(());
         }
-        self.store.begun(id, attempt, now, endpoint).map_err(|e| Held::NotKept(e.to_string()))?;
+        self.store
+            .record_attempt(id, attempt, now, endpoint)
+            .map_err(|e| AttemptBlocked::NotStored(e.to_string()))?;
         out.begun = true;
         self.untried.begun(id);
         Ok(())
@@ -264,23 +266,23 @@
         let known = self.open.known(&message.call_id);
         let deciding = known.is_some_and(|id| asking.iter().any(|a| a.id == id));
         if let Some(id) = known.filter(|_| !deciding) {
-            return out.push(Output::Told(Told::Known { id, ticket }));
+            return out.push(Output::Reply(FrontReply::Duplicate { id, ticket }));
         }
         let Some(class) = self.settings.classes.get(message.class) else {
-            let why = Turned::Failed;
-            return out.push(Output::Told(Told::Turned { ticket, why }));
+            let why = Rejection::Failed;
+            return out.push(Output::Reply(FrontReply::Rejected { ticket, why }));
         };
         let keyed = class.effect == Effect::Keyed;
         let full = self.open.owed() >= self.settings.max_open || self.open.unconfirmed() >= MOST_UNCONFIRMED;
         // A destination in no list may be one that is not listed yet.
-        if deciding || full || self.stopping || !self.places.knows(message.destination, now) {
-            let why = Turned::Refused { again_ms: Some(COME_AGAIN_MS) };
+        if deciding || full || self.stopping || !self.destination_table.knows(message.destination, now) {
+            let why = Rejection::Refused { retry_after_ms: Some(COME_AGAIN_MS) };
             self.tally.turned(message.class, &why);
-            return out.push(Output::Told(Told::Turned { ticket, why }));
+            return out.push(Output::Reply(FrontReply::Rejected { ticket, why }));
         }
         let id = self.open.number();
         let Message { call_id, class, tenant, destination, due, order_key, idempotency_key, body } = message;
-        let taken = Taken {
+        let taken = AcceptedMessage {
             call_id: call_id.clone(),
             class: self.names.classes.get(class).cloned().unwrap_or_default(),
             tenant: self.names.tenants.get(tenant).cloned().unwrap_or_default(),
@@ -319,10 +321,10 @@
     }
 
     fn ended<T>(
-        &mut self, now: f64, (id, attempt): (u64, u32), took_ms: f64, end: Ended<R>, events: &mut Vec<Event>,
-        out: &mut Vec<Output<T, R>>,
+        &mut self, now: f64, (id, attempt): (u64, u32), took_ms: f64, end: AttemptEnd<R>,
+        events: &mut Vec<Event>, out: &mut Vec<Output<T, R>>,
     ) {
-        let Ended { outcome, settled, wait_ms, report, response } = end;
+        let AttemptEnd { outcome, settled, wait_ms, report, response } = end;
         let event = Event::Ended { id, attempt, outcome, took_ms, settled, wait_ms, report };
         let Some(open) = self.open.get_mut(id) else { return events.push(event) };
         let wait_until = if wait_ms > 0.0 { now + wait_ms } else { 0.0 };
@@ -334,14 +336,14 @@
         if settled && !was_over {
             let late = outcome == Outcome::Delivered && now >= open.due - LATE_MS;
             let owed = late && open.in_order;
-            events.extend(owed.then_some(Event::EndOwed { id }));
+            events.extend(owed.then_some(Event::AnswerExpected { id }));
             events.push(event);
             match response {
                 Some(response) if late => self.delivered_late(id, response, out),
                 Some(response) if outcome == Outcome::Delivered => {
-                    self.settle(id, Final::Delivered(response), out)
+                    self.settle(id, FinalAnswer::Delivered(response), out)
                 }
-                response => self.settle(id, Final::Over(response), out),
+                response => self.settle(id, FinalAnswer::EndedByPartner(response), out),
             }
             return;
         }
@@ -351,7 +353,7 @@
         if begun && !settled && !was_over {
             let runs_yet =
                 matches!(outcome, Outcome::TimedOut | Outcome::Broken | Outcome::Stale | Outcome::Cancelled);
-            if let Err(e) = self.store.outcome(id, attempt, !outcome.never_ran(), runs_yet) {
+            if let Err(e) = self.store.record_outcome(id, attempt, !outcome.never_ran(), runs_yet) {
                 let words = format!("journal: {e}; a restart will take attempt {attempt} for open");
                 out.push(Output::Log(words));
             }
@@ -361,31 +363,31 @@
     }
 
     /// The partner's answer is all that was owed.
-    fn settle<T>(&mut self, id: u64, answer: Final<R>, out: &mut Vec<Output<T, R>>) {
+    fn settle<T>(&mut self, id: u64, answer: FinalAnswer<R>, out: &mut Vec<Output<T, R>>) {
         let Some(open) = self.open.get(id) else { return };
         let call_id = open.call_id.clone();
         self.tally.ended(open.class, &answer);
         self.open.over(id);
         // What is over needs no outcome: its end is recorded at once.
         self.close(id, out);
-        out.push(Output::Told(Told::Final { id, call_id, answer }));
+        out.push(Output::Reply(FrontReply::Final { id, call_id, answer }));
     }
 
     /// It is delivered and not sent again, but its sender may have counted it as not answered before the partner's answer
     /// came. Told nothing more it would wait for good, so it is told as for a message that was given up: that does no harm
     /// where the delivery did count.
     fn delivered_late<T>(&mut self, id: u64, response: R, out: &mut Vec<Output<T, R>>) {
-        self.keep_verdict(id, Verdict::Undeliverable, out);
+        self.keep_verdict(id, GivenUp::Undeliverable, out);
         self.open.over(id);
         self.open.set_unconfirmed(id, true);
         let Some(open) = self.open.get(id) else { return };
-        let answer = Final::DeliveredLate(response);
+        let answer = FinalAnswer::DeliveredLate(response);
         self.tally.ended(open.class, &answer);
-        out.push(Output::Told(Told::Final { id, call_id: open.call_id.clone(), answer }));
+        out.push(Output::Reply(FrontReply::Final { id, call_id: open.call_id.clone(), answer }));
     }
 
-    fn keep_verdict<T>(&mut self, id: u64, verdict: Verdict, out: &mut Vec<Output<T, R>>) {
-        if let Err(e) = self.store.verdict(id, verdict) {
+    fn keep_verdict<T>(&mut self, id: u64, verdict: GivenUp, out: &mut Vec<Output<T, R>>) {
+        if let Err(e) = self.store.record_given_up(id, verdict) {
             let words = format!("journal: {e}; a restart would go on with a message that was given up");
             out.push(Output::Log(words));
         }
@@ -418,7 +420,7 @@
         let version = self.relay.outages_version();
         if version != self.outages {
             let kept = self.relay.outages().iter().map(kept_outage).collect();
-            if let Err(e) = self.store.outages(kept) {
+            if let Err(e) = self.store.record_outages(kept) {
                 out.push(Output::Log(format!("journal: {e}; outages not kept")));
             }
             self.outages = version;
@@ -433,24 +435,24 @@
         }
         let ended = actions.iter().filter_map(|a| match a {
             Action::Refuse { id, retry_after_ms } => {
-                Some((*id, Turned::Refused { again_ms: *retry_after_ms }))
+                Some((*id, Rejection::Refused { retry_after_ms: *retry_after_ms }))
             }
-            Action::Fail { id } => Some((*id, Turned::Failed)),
+            Action::Fail { id } => Some((*id, Rejection::Failed)),
             _ => None,
         });
-        let ended: HashMap<u64, Turned> = ended.collect();
+        let ended: HashMap<u64, Rejection> = ended.collect();
         for Asking { id, taken, ticket } in asking {
             let why = match ended.get(&id) {
                 Some(why) => *why,
-                None => match self.store.taken(id, taken) {
+                None => match self.store.record_accepted(id, taken) {
                     Ok(()) => {
-                        out.push(Output::Told(Told::Taken { id, ticket }));
+                        out.push(Output::Reply(FrontReply::Accepted { id, ticket }));
                         continue;
                     }
                     Err(e) => {
                         out.push(Output::Log(format!("journal: {e}; message refused")));
                         self.follow_up.push(Event::Withdrawn { id });
-                        Turned::Refused { again_ms: Some(COME_AGAIN_MS) }
+                        Rejection::Refused { retry_after_ms: Some(COME_AGAIN_MS) }
                     }
                 },
             };
@@ -458,10 +460,10 @@
             if let Some(open) = self.open.get(id) {
                 self.tally.turned(open.class, &why);
                 // Its sender hears at once, on its own connection.
-                self.follow_up.extend(open.in_order.then_some(Event::Told { id }));
+                self.follow_up.extend(open.in_order.then_some(Event::AnswerConfirmed { id }));
             }
             self.open.remove(id);
-            out.push(Output::Told(Told::Turned { ticket, why }));
+            out.push(Output::Reply(FrontReply::Rejected { ticket, why }));
         }
     }
 
@@ -475,19 +477,19 @@
                     self.open.get_mut(id).and_then(|o| o.out.iter_mut().find(|x| x.attempt == attempt));
                 if let Some(x) = found {
                     x.called_off = true;
-                    out.push(Output::CallOff { id, attempt });
+                    out.push(Output::CancelAttempt { id, attempt });
                 }
             }
             Action::Refuse { id, retry_after_ms } => {
-                self.end(now, id, Verdict::Deferred { again_ms: retry_after_ms }, out)
+                self.end(now, id, GivenUp::Deferred { retry_after_ms }, out)
             }
-            Action::Fail { id } => self.end(now, id, Verdict::Undeliverable, out),
+            Action::Fail { id } => self.end(now, id, GivenUp::Undeliverable, out),
             Action::Timer { at, token } => self.timers.set(at, token),
             Action::Probe { endpoint } => out.push(Output::Probe { endpoint }),
             Action::CloseIdle { endpoint } => out.push(Output::CloseIdle { endpoint }),
             Action::Log(words) => out.push(Output::Log(words)),
             // There are no peers yet, and the list comes by itself.
-            Action::Tell { .. } | Action::Watch(_) | Action::Fetch => {}
+            Action::SendToPeer { .. } | Action::Watch(_) | Action::Fetch => {}
         }
     }
 
@@ -519,7 +521,7 @@
     }
 
     /// The module has given a message up: its sender hears at once.
-    fn end<T>(&mut self, now: f64, id: u64, verdict: Verdict, out: &mut Vec<Output<T, R>>) {
+    fn end<T>(&mut self, now: f64, id: u64, verdict: GivenUp, out: &mut Vec<Output<T, R>>) {
         if self.open.get(id).is_none_or(|o| o.over) {
             return;
         }
@@ -529,19 +531,21 @@
     }
 
     /// `counts`: by this process, and not by an earlier one.
-    fn give_up<T>(&mut self, id: u64, verdict: Verdict, counts: bool, out: &mut Vec<Output<T, R>>) {
+    fn give_up<T>(&mut self, id: u64, verdict: GivenUp, counts: bool, out: &mut Vec<Output<T, R>>) {
         self.open.over(id);
         self.open.set_unconfirmed(id, true);
         let Some(open) = self.open.get_mut(id) else { return };
         let (may_have_run, last) = (open.may_have_run || open.out.iter().any(|x| x.begun), open.last.take());
         let answer = match verdict {
-            Verdict::Undeliverable => Final::Failed { may_have_run, last },
-            Verdict::Deferred { again_ms } => Final::Refused { again_ms, may_have_run, last },
+            GivenUp::Undeliverable => FinalAnswer::Failed { may_have_run, last },
+            GivenUp::Deferred { retry_after_ms } => {
+                FinalAnswer::Refused { retry_after_ms, may_have_run, last }
+            }
         };
         if counts {
             self.tally.ended(open.class, &answer);
         }
-        out.push(Output::Told(Told::Final { id, call_id: open.call_id.clone(), answer }));
+        out.push(Output::Reply(FrontReply::Final { id, call_id: open.call_id.clone(), answer }));
     }
 
     /// What the module has to hear of it.
@@ -549,18 +553,18 @@
         let in_order = self.open.get(id).filter(|o| o.unconfirmed)?.in_order;
         self.open.set_unconfirmed(id, false);
         self.close(id, out);
-        in_order.then_some(Event::Told { id })
+        in_order.then_some(Event::AnswerConfirmed { id })
     }
 
     /// The message's end has reached whom it concerns.
     fn close<T>(&mut self, id: u64, out: &mut Vec<Output<T, R>>) {
-        if let Err(e) = self.store.ended(id) {
+        if let Err(e) = self.store.record_ended(id) {
             out.push(Output::Log(format!("journal: {e}; a restart will end a message once more")));
         }
         self.open.remove_if_done(id);
     }
 }
 
-fn kept_outage(o: &Outage) -> KeptOutage {
-    (o.destination, o.endpoint.clone(), o.back, o.before)
+fn kept_outage(o: &Outage) -> OutageRecord {
+    (o.destination, o.endpoint.clone(), o.recovered_at, o.rate_before)
 }
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -1,7 +1,7 @@
 //! What goes in and out of the engine. Times are milliseconds of the caller's clock, spans are milliseconds.
 
 use bytes::Bytes;
-use linenhall::{Discovery, Outcome};
+use linenhall::{ListUpdate, Outcome};
 use std::time::Duration;
 
 /// No attempt is waited for any longer: an hour.
@@ -30,18 +30,18 @@
 
 /// The single final answer of a message that was taken on. `R` is what a carrier brings back.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Final<R> {
+pub enum FinalAnswer<R> {
     /// Delivered, with the partner's answer.
     Delivered(R),
     /// Delivered, with the partner's answer, which came so near the end of the message's time that whoever counts that time
     /// elsewhere may take it for too late.
     DeliveredLate(R),
     /// The partner says that it is over, though it was not delivered: nothing more is owed.
-    Over(Option<R>),
+    EndedByPartner(Option<R>),
     /// Given up, and handing it in again is harmless as its class sees it.
     Refused {
         /// When to come again, where the settings allow that to be told.
-        again_ms: Option<f64>,
+        retry_after_ms: Option<f64>,
         /// Whether an attempt may have run.
         may_have_run: bool,
         /// What the last attempt with an answer brought.
@@ -58,11 +58,11 @@
 
 /// The final answer of a message that was never taken on, so never tried.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Turned {
+pub enum Rejection {
     /// Come again, after this long where it is told.
     Refused {
         /// Milliseconds.
-        again_ms: Option<f64>,
+        retry_after_ms: Option<f64>,
     },
     /// Not to be delivered.
     Failed,
@@ -70,30 +70,30 @@
 
 /// What a front is told. `T` is whatever it gave along with a message.
 #[derive(Debug, PartialEq)]
-pub enum Told<T, R> {
-    /// The message is taken on: the store has it, and it gets one [`Told::Final`].
-    Taken {
+pub enum FrontReply<T, R> {
+    /// The message is taken on: the store has it, and it gets one [`FrontReply::Final`].
+    Accepted {
         /// The engine's number for it.
         id: u64,
         /// As handed in.
         ticket: T,
     },
     /// A message under this id is open already; nothing was handed in a second time.
-    Known {
+    Duplicate {
         /// The engine's number for it.
         id: u64,
         /// As handed in.
         ticket: T,
     },
     /// The message is not taken on. There will be no other answer.
-    Turned {
+    Rejected {
         /// As handed in.
         ticket: T,
         /// What its sender is told.
-        why: Turned,
+        why: Rejection,
     },
-    /// The one final answer of a message that was taken on, perhaps by an earlier process. [`Final::Refused`],
-    /// [`Final::Failed`] and [`Final::DeliveredLate`] are owed until [`Input::Confirmed`], and told again after a restart,
+    /// The one final answer of a message that was taken on, perhaps by an earlier process. [`FinalAnswer::Refused`],
+    /// [`FinalAnswer::Failed`] and [`FinalAnswer::DeliveredLate`] are owed until [`Input::AnswersConfirmed`], and told again after a restart,
     /// the last one as failed; the other two are known to the partner, and told once.
     Final {
         /// The engine's number for it.
@@ -101,7 +101,7 @@
         /// Its sender's id for it.
         call_id: String,
         /// The answer.
-        answer: Final<R>,
+        answer: FinalAnswer<R>,
     },
 }
 
@@ -138,7 +138,7 @@
 /// How an attempt ended, as its carrier saw it. Whether it may have run follows from the outcome
 /// ([`Outcome::never_ran`]).
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended<R> {
+pub struct AttemptEnd<R> {
     /// What it came to.
     pub outcome: Outcome,
     /// The message is over, and nothing more is owed.
@@ -151,10 +151,10 @@
     pub response: Option<R>,
 }
 
-impl<R> Ended<R> {
+impl<R> AttemptEnd<R> {
     /// An end without an answer.
-    pub fn bare(outcome: Outcome) -> Ended<R> {
-        Ended { outcome, settled: false, wait_ms: 0.0, report: Vec::new(), response: None }
+    pub fn without_response(outcome: Outcome) -> AttemptEnd<R> {
+        AttemptEnd { outcome, settled: false, wait_ms: 0.0, report: Vec::new(), response: None }
     }
 }
 
@@ -162,7 +162,7 @@
 #[derive(Debug)]
 pub enum Input<T, R> {
     /// A front hands a message in.
-    Handed(Box<Message>, T),
+    Submitted(Box<Message>, T),
     /// Nobody waits for this message any more. An attempt that is out may have run.
     Withdrawn {
         /// The engine's number for it.
@@ -177,7 +177,7 @@
         /// Since it was asked for.
         took_ms: f64,
         /// How.
-        end: Ended<R>,
+        end: AttemptEnd<R>,
     },
     /// A probe ended.
     Probed {
@@ -191,9 +191,9 @@
         report: Vec<f64>,
     },
     /// News of the list. The carrier knows it already.
-    Listed(Discovery),
+    ListUpdate(ListUpdate),
     /// The final answers of these messages have reached whom they concern.
-    Confirmed(Vec<u64>),
+    AnswersConfirmed(Vec<u64>),
     /// Nothing more is taken on, and no attempt is begun that may be out at this time.
     Stop {
         /// When.
@@ -205,11 +205,11 @@
 #[derive(Debug, PartialEq)]
 pub enum Output<T, R> {
     /// For the front.
-    Told(Told<T, R>),
+    Reply(FrontReply<T, R>),
     /// For the carrier: make this attempt.
     Attempt(Attempt),
     /// For the carrier: stop waiting for this one. It still ends by [`Input::Ended`].
-    CallOff {
+    CancelAttempt {
         /// The message.
         id: u64,
         /// The attempt.
--- a/crates/engine/src/tally.rs
+++ b/crates/engine/src/tally.rs
@@ -1,10 +1,10 @@
 //! How messages have ended, since the process started.
 
-use crate::message::{Final, Turned};
+use crate::message::{FinalAnswer, Rejection};
 
 /// How the messages of one class have ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ends {
+pub struct OutcomeCounts {
     /// Delivered.
     pub delivered: u64,
     /// Refused: not taken on, or given up later with when to come again.
@@ -16,37 +16,37 @@
 /// Counts of ends by class. One that nobody waited for any more, and one that an earlier process had given up,
 /// stands under none.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tally(Vec<Ends>);
+pub struct Tally(Vec<OutcomeCounts>);
 
 impl Tally {
     pub(crate) fn new(classes: usize) -> Tally {
-        Tally(vec![Ends::default(); classes])
+        Tally(vec![OutcomeCounts::default(); classes])
     }
 
     /// By index of the class.
-    pub fn classes(&self) -> &[Ends] {
+    pub fn classes(&self) -> &[OutcomeCounts] {
         &self.0
     }
 
-    fn of(&mut self, class: usize, count: impl FnOnce(&mut Ends)) {
+    fn of(&mut self, class: usize, count: impl FnOnce(&mut OutcomeCounts)) {
         if let Some(ends) = self.0.get_mut(class) {
             count(ends);
         }
     }
 
-    pub(crate) fn turned(&mut self, class: usize, why: &Turned) {
+    pub(crate) fn turned(&mut self, class: usize, why: &Rejection) {
         self.of(class, |ends| match why {
-            Turned::Refused { .. } => ends.refused += 1,
-            Turned::Failed => ends.failed += 1,
+            Rejection::Refused { .. } => ends.refused += 1,
+            Rejection::Failed => ends.failed += 1,
         });
     }
 
-    pub(crate) fn ended<R>(&mut self, class: usize, answer: &Final<R>) {
+    pub(crate) fn ended<R>(&mut self, class: usize, answer: &FinalAnswer<R>) {
         self.of(class, |ends| match answer {
-            Final::Delivered(_) | Final::DeliveredLate(_) => ends.delivered += 1,
-            Final::Refused { .. } => ends.refused += 1,
-            Final::Failed { .. } => ends.failed += 1,
-            Final::Over(_) => {}
+            FinalAnswer::Delivered(_) | FinalAnswer::DeliveredLate(_) => ends.delivered += 1,
+            FinalAnswer::Refused { .. } => ends.refused += 1,
+            FinalAnswer::Failed { .. } => ends.failed += 1,
+            FinalAnswer::EndedByPartner(_) => {}
         });
     }
 }
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -1,9 +1,12 @@
 //! The engine without sockets: partners, a store and crashes, all from one seed. Every rule that can be broken is
 //! looked at as it happens.
-use linenhall::{Class, Discovery, Effect, Endpoint, Group, Listed, Outcome, Settings};
-use mulleinslip_engine::journal::{Attempt as Tried, Kept, KeptOutage, Left, Taken, Verdict};
+use linenhall::{Class, DedupScope, Effect, Endpoint, EndpointStatus, ListUpdate, Outcome, Settings};
+use mulleinslip_engine::journal::{
+    AcceptedMessage, Attempt as Tried, GivenUp, OutageRecord, RecoveredMessage, RecoveredState,
+};
 use mulleinslip_engine::{
-    Alive, Attempt, Ended, Engine, Final, Input, Message, Names, Output, Store, Told, Turned,
+    Attempt, AttemptEnd, Engine, FinalAnswer, FrontReply, Input, Message, Names, Output, Predecessor,
+    Rejection, Store,
 };
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -23,10 +26,10 @@
         aim_ms: 500.0,
         deadline_ms: 4000.0,
         effect: *effect,
-        group: Group::All,
-        window_ms: WINDOW_MS,
-        worth: 1.0,
-        late_worth: 0.2,
+        dedup_scope: DedupScope::All,
+        dedup_window_ms: WINDOW_MS,
+        value: 1.0,
+        late_value: 0.2,
         in_order: *in_order,
     };
     Settings {
@@ -36,9 +39,9 @@
         max_attempts: 5,
         classes: CLASSES.iter().map(class).collect(),
         tenant_rates: vec![1e6],
-        over_share_worth: 1.0,
+        over_share_value: 1.0,
         batch: vec![1],
-        apart: vec![false],
+        own_limits: vec![false],
         may_cancel: true,
         conn_idle_ms: 5000.0,
         conn_streams: 1,
@@ -61,8 +64,8 @@
 /// What outlasts a crash.
 #[derive(Default)]
 pub struct Lasting {
-    pub kept: BTreeMap<u64, Kept>,
-    pub outages: Vec<KeptOutage>,
+    pub kept: BTreeMap<u64, RecoveredMessage>,
+    pub outages: Vec<OutageRecord>,
     /// Calls that fail from now on: none, those that may be refused, or all.
     pub fails: Fails,
     pub writes: u64,
@@ -80,12 +83,16 @@
 pub struct Memory(pub Rc<RefCell<Lasting>>);
 
 impl Memory {
-    pub fn left(&self) -> Left {
+    pub fn left(&self) -> RecoveredState {
         let kept = self.0.borrow();
-        Left { kept: kept.kept.values().cloned().collect(), outages: kept.outages.clone(), ..Left::default() }
+        RecoveredState {
+            messages: kept.kept.values().cloned().collect(),
+            outages: kept.outages.clone(),
+            ..RecoveredState::default()
+        }
     }
 
-    fn of(&mut self, id: u64, change: impl FnOnce(&mut Kept)) -> Result<(), &'static str> {
+    fn of(&mut self, id: u64, change: impl FnOnce(&mut RecoveredMessage)) -> Result<(), &'static str> {
         let mut all = self.0.borrow_mut();
         all.writes += 1;
         if let Some(kept) = all.kept.get_mut(&id) {
@@ -97,17 +104,19 @@
 
 impl Store for Memory {
     type Error = &'static str;
-    fn taken(&mut self, id: u64, taken: Taken) -> Result<(), Self::Error> {
+    fn record_accepted(&mut self, id: u64, taken: AcceptedMessage) -> Result<(), Self::Error> {
         let mut all = self.0.borrow_mut();
         if all.fails == Fails::Full {
             return Err("no room");
         }
         all.writes += 1;
-        let fresh = all.kept.insert(id, Kept { id, taken, attempts: Vec::new(), verdict: None });
+        let fresh = all
+            .kept
+            .insert(id, RecoveredMessage { id, message: taken, attempts: Vec::new(), given_up: None });
         assert!(fresh.is_none(), "number {id} is given out twice");
         Ok(())
     }
-    fn begun(&mut self, id: u64, number: u32, at: f64, endpoint: &str) -> Result<(), Self::Error> {
+    fn record_attempt(&mut self, id: u64, number: u32, at: f64, endpoint: &str) -> Result<(), Self::Error> {
         if self.0.borrow().fails == Fails::Full {
             return Err("no room");
         }
@@ -117,23 +126,23 @@
             k.attempts.push(Tried { number, at, endpoint, may_have_run: true, may_run_yet: true });
         })
     }
-    fn outcome(&mut self, id: u64, number: u32, ran: bool, runs_yet: bool) -> Result<(), Self::Error> {
+    fn record_outcome(&mut self, id: u64, number: u32, ran: bool, runs_yet: bool) -> Result<(), Self::Error> {
         self.of(id, |k| {
             for a in k.attempts.iter_mut().filter(|a| a.number == number) {
                 (a.may_have_run, a.may_run_yet) = (ran, runs_yet);
             }
         })
     }
-    fn verdict(&mut self, id: u64, verdict: Verdict) -> Result<(), Self::Error> {
-        self.of(id, |k| k.verdict = Some(verdict))
+    fn record_given_up(&mut self, id: u64, verdict: GivenUp) -> Result<(), Self::Error> {
+        self.of(id, |k| k.given_up = Some(verdict))
     }
-    fn ended(&mut self, id: u64) -> Result<(), Self::Error> {
+    fn record_ended(&mut self, id: u64) -> Result<(), Self::Error> {
         let mut all = self.0.borrow_mut();
         all.writes += 1;
         all.kept.remove(&id);
         Ok(())
     }
-    fn outages(&mut self, outages: Vec<KeptOutage>) -> Result<(), Self::Error> {
+    fn record_outages(&mut self, outages: Vec<OutageRecord>) -> Result<(), Self::Error> {
         self.0.borrow_mut().outages = outages;
         Ok(())
     }
@@ -167,7 +176,7 @@
         id: u64,
         attempt: u32,
         sent: f64,
-        end: Ended<u32>,
+        end: AttemptEnd<u32>,
     },
     Confirm(u64),
 }
@@ -184,7 +193,7 @@
     runs: Vec<f64>,
     effects: u32,
     /// Answers told, and whether the last was confirmed.
-    answers: Vec<Final<u32>>,
+    answers: Vec<FinalAnswer<u32>>,
     confirmed: bool,
 }
 
@@ -228,26 +237,26 @@
             stopping: false,
             crashes: 0,
         };
-        world.start(Left::default());
+        world.start(RecoveredState::default());
         world
     }
 
-    fn list() -> Discovery {
+    fn list() -> ListUpdate {
         let host = |n: u64| Endpoint {
             name: format!("h{n}"),
             destination: n / 2,
             zone: 0,
             kind: 0,
             weight: 1.0,
-            listed: Listed::Active,
+            status: EndpointStatus::Active,
         };
-        Discovery::Whole((0..2 * DESTINATIONS).map(host).collect())
+        ListUpdate::Full((0..2 * DESTINATIONS).map(host).collect())
     }
 
-    fn start(&mut self, left: Left) {
-        self.ids = left.kept.iter().map(|k| (k.id, k.taken.call_id.clone())).collect();
+    fn start(&mut self, left: RecoveredState) {
+        self.ids = left.messages.iter().map(|k| (k.id, k.message.call_id.clone())).collect();
         let mut out = Vec::new();
-        self.engine.restore(self.now, vec![World::list()], left, &Alive::default(), &mut out);
+        self.engine.restore(self.now, vec![World::list()], left, &Predecessor::default(), &mut out);
         self.act(out);
     }
 
@@ -282,7 +291,7 @@
     }
 
     /// One message more, of any kind.
-    pub fn hand_in(&mut self) {
+    pub fn submit(&mut self) {
         let call_id = format!("m{}", self.sent.len());
         let class = self.random.usize(..CLASSES.len());
         let destination = self.random.u64(..DESTINATIONS);
@@ -299,7 +308,7 @@
         };
         let sent = Sent { class, order_key, destination, ..Sent::default() };
         self.sent.insert(call_id.clone(), sent);
-        self.give(vec![Input::Handed(Box::new(message), call_id)]);
+        self.give(vec![Input::Submitted(Box::new(message), call_id)]);
     }
 
     /// Whoever handed in one of the open messages goes away.
@@ -360,7 +369,7 @@
             Due::Confirm(id) => {
                 let sent = self.ids.get(&id).and_then(|c| self.sent.get_mut(c));
                 sent.into_iter().for_each(|s| s.confirmed = true);
-                self.give(vec![Input::Confirmed(vec![id])]);
+                self.give(vec![Input::AnswersConfirmed(vec![id])]);
             }
         }
     }
@@ -373,7 +382,7 @@
         let waits = self.waits.get(&attempt.destination).is_some_and(|until| *until > now);
         if refused || waits || self.engine.begin(now, id, number, &attempt.endpoint).is_err() {
             let outcome = if refused { Outcome::NoConnection } else { Outcome::NotSent };
-            let end = Ended::bare(outcome);
+            let end = AttemptEnd::without_response(outcome);
             return self.at(now, Due::End { id, attempt: number, sent: now, end });
         }
         let kept = self.store.0.borrow().kept.get(&id).cloned();
@@ -386,7 +395,7 @@
         let sent = self.sent.get(&attempt.call_id).expect("a message that was handed in");
         if let Some(key) = &sent.order_key {
             let number = |id: &str| id[1..].parse::<u64>().unwrap_or(0);
-            let delivered = |s: &Sent| matches!(s.answers.last(), Some(Final::Delivered(_)));
+            let delivered = |s: &Sent| matches!(s.answers.last(), Some(FinalAnswer::Delivered(_)));
             let owed = self.sent.iter().find(|(id, s)| {
                 s.order_key.as_ref() == Some(key)
                     && number(id) < number(&attempt.call_id)
@@ -402,16 +411,23 @@
         let patience = attempt.wait_ms.min(200.0);
         let (ran, after, end) = match mood {
             Mood::Well => {
-                let good = Ended { settled: true, response: Some(number), ..Ended::bare(Outcome::Delivered) };
+                let good = AttemptEnd {
+                    settled: true,
+                    response: Some(number),
+                    ..AttemptEnd::without_response(Outcome::Delivered)
+                };
                 (true, took, good)
             }
-            Mood::Losing => (true, took, Ended::bare(Outcome::Broken)),
-            Mood::Silent => (self.random.bool(), patience, Ended::bare(Outcome::TimedOut)),
+            Mood::Losing => (true, took, AttemptEnd::without_response(Outcome::Broken)),
+            Mood::Silent => (self.random.bool(), patience, AttemptEnd::without_response(Outcome::TimedOut)),
             Mood::Failing => {
-                let end = Ended { response: Some(number), ..Ended::bare(Outcome::Error) };
+                let end =
+                    AttemptEnd { response: Some(number), ..AttemptEnd::without_response(Outcome::Error) };
                 (self.random.bool(), took, end)
             }
-            Mood::Waiting => (false, took, Ended { wait_ms: 400.0, ..Ended::bare(Outcome::Full) }),
+            Mood::Waiting => {
+                (false, took, AttemptEnd { wait_ms: 400.0, ..AttemptEnd::without_response(Outcome::Full) })
+            }
             Mood::Refusing => unreachable!("above"),
         };
         if ran {
@@ -446,7 +462,7 @@
         let seed = self.seed;
         for output in out {
             match output {
-                Output::Told(told) => self.told(told),
+                Output::Reply(told) => self.told(told),
                 Output::Attempt(attempt) => {
                     assert!(
                         self.out.iter().all(|(id, _)| *id != attempt.id),
@@ -461,8 +477,8 @@
                     let up = self.now + self.random.f64() * slow;
                     self.at(up, Due::Begin(attempt));
                 }
-                Output::CallOff { id, attempt } => {
-                    let end = Ended::bare(Outcome::Cancelled);
+                Output::CancelAttempt { id, attempt } => {
+                    let end = AttemptEnd::without_response(Outcome::Cancelled);
                     self.at(self.now, Due::End { id, attempt, sent: self.now, end });
                 }
                 Output::Probe { .. } | Output::CloseIdle { .. } | Output::Log(_) => {}
@@ -470,34 +486,36 @@
         }
     }
 
-    fn told(&mut self, told: Told<String, u32>) {
+    fn told(&mut self, told: FrontReply<String, u32>) {
         let seed = self.seed;
         match told {
-            Told::Taken { id, ticket } => {
+            FrontReply::Accepted { id, ticket } => {
                 assert!(self.store.0.borrow().kept.contains_key(&id), "seed {seed}: taken on and not kept");
                 self.sent.get_mut(&ticket).expect("handed in").taken = true;
                 self.ids.insert(id, ticket);
             }
-            Told::Known { ticket, .. } => panic!("seed {seed}: {ticket} was handed in once"),
-            Told::Turned { ticket, why } => {
+            FrontReply::Duplicate { ticket, .. } => panic!("seed {seed}: {ticket} was handed in once"),
+            FrontReply::Rejected { ticket, why } => {
                 let sent = self.sent.get_mut(&ticket).expect("handed in");
                 assert!(!sent.taken && !sent.turned, "seed {seed}");
-                assert!(why == Turned::Failed || matches!(why, Turned::Refused { .. }));
+                assert!(why == Rejection::Failed || matches!(why, Rejection::Refused { .. }));
                 sent.turned = true;
             }
-            Told::Final { id, call_id, answer } => {
+            FrontReply::Final { id, call_id, answer } => {
                 let sent = self.sent.get_mut(&call_id).expect("handed in");
                 assert!(sent.taken && !sent.withdrawn, "seed {seed}: {call_id} is owed no answer");
                 assert!(!sent.confirmed, "seed {seed}: {call_id} is answered after its answer was confirmed");
                 match &answer {
-                    Final::Delivered(_) => assert!(!sent.runs.is_empty(), "seed {seed}: {call_id} never ran"),
-                    Final::DeliveredLate(_) => {
+                    FinalAnswer::Delivered(_) => {
+                        assert!(!sent.runs.is_empty(), "seed {seed}: {call_id} never ran")
+                    }
+                    FinalAnswer::DeliveredLate(_) => {
                         assert!(!sent.runs.is_empty(), "seed {seed}: {call_id} never ran");
                         let after = self.random.f64() * 500.0;
                         self.at(self.now + after, Due::Confirm(id));
                     }
-                    Final::Over(_) => panic!("seed {seed}: nobody says so"),
-                    Final::Refused { may_have_run, .. } | Final::Failed { may_have_run, .. } => {
+                    FinalAnswer::EndedByPartner(_) => panic!("seed {seed}: nobody says so"),
+                    FinalAnswer::Refused { may_have_run, .. } | FinalAnswer::Failed { may_have_run, .. } => {
                         assert!(*may_have_run || sent.runs.is_empty(), "seed {seed}: {call_id} ran");
                         let after = self.random.f64() * 500.0;
                         self.at(self.now + after, Due::Confirm(id));
@@ -505,11 +523,11 @@
                 }
                 let sent = self.sent.get_mut(&call_id).expect("handed in");
                 // Told again after a crash, it is the same answer. What came with it may be lost.
-                let kind = |f: &Final<u32>| match f {
-                    Final::Refused { again_ms, .. } => (0, *again_ms),
+                let kind = |f: &FinalAnswer<u32>| match f {
+                    FinalAnswer::Refused { retry_after_ms, .. } => (0, *retry_after_ms),
                     // After a restart it is told as failed.
-                    Final::Failed { .. } | Final::DeliveredLate(_) => (1, None),
-                    Final::Delivered(_) | Final::Over(_) => (2, None),
+                    FinalAnswer::Failed { .. } | FinalAnswer::DeliveredLate(_) => (1, None),
+                    FinalAnswer::Delivered(_) | FinalAnswer::EndedByPartner(_) => (2, None),
                 };
                 for before in &sent.answers {
                     assert_eq!(kind(before), kind(&answer), "seed {seed}: a second answer of {call_id}");
@@ -547,8 +565,8 @@
             let at = match s.answers.last() {
                 _ if s.turned => 0,
                 _ if s.withdrawn => 4,
-                Some(Final::Refused { .. }) => 2,
-                Some(Final::Failed { .. }) => 3,
+                Some(FinalAnswer::Refused { .. }) => 2,
+                Some(FinalAnswer::Failed { .. }) => 3,
                 _ => 1,
             };
             counts[at] += 1;
--- a/crates/engine/tests/world.rs
+++ b/crates/engine/tests/world.rs
@@ -12,7 +12,7 @@
     let mut world = World::new(seed);
     for _ in 0..400 {
         match random.u32(..100) {
-            0..70 => world.hand_in(),
+            0..70 => world.submit(),
             70..80 => world.change_a_mood(),
             80..83 => world.all_well(),
             83..88 => world.withdraw_one(),
--- a/crates/http/src/carrier.rs
+++ b/crates/http/src/carrier.rs
@@ -4,14 +4,14 @@
 use crate::audit::{self, Step};
 use crate::conn::{bytes, Answer, Conn, Failure, Progress, SMALL};
 use crate::idle::Idle;
-use crate::outcomes::Meaning;
+use crate::outcomes::ParsedOutcome;
 use bytes::Bytes;
 use hyper::header::{HeaderName, HOST};
 use hyper::Request;
-use linenhall::{Discovery, Outcome};
-use mulleinslip_engine::{Attempt, Ended};
+use linenhall::{ListUpdate, Outcome};
+use mulleinslip_engine::{Attempt, AttemptEnd};
 use mulleinslip_membership::{Entry, List, ListNames, Status, View};
-use mulleinslip_runtime::{CallOff, Carrier, Gate};
+use mulleinslip_runtime::{Cancellation, Carrier, SendGate};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::io;
@@ -40,7 +40,7 @@
 struct Host {
     /// What the list says of it.
     entry: Entry,
-    apart: bool,
+    own_limits: bool,
 }
 
 impl Host {
@@ -50,7 +50,7 @@
 }
 
 /// What shares a told wait: a destination, or one host where hosts are routes apart.
-type Lane = (u64, Option<String>);
+type EndpointGroupKey = (u64, Option<String>);
 
 #[derive(Default)]
 struct State {
@@ -58,7 +58,7 @@
     hosts: HashMap<String, Host>,
     /// Their names, by destination.
     of: HashMap<u64, HashSet<String>>,
-    waits: HashMap<Lane, Instant>,
+    waits: HashMap<EndpointGroupKey, Instant>,
     open: usize,
     idle: Idle<Conn>,
 }
@@ -82,7 +82,7 @@
 /// What the carrier is told at its start.
 pub struct CarrierSettings {
     /// Connections that may be open at once, idle ones among them.
-    pub most_open: usize,
+    pub max_open: usize,
     /// A connection that is not up by then counts as refused.
     pub connect_timeout: Duration,
     /// Hosts close a connection that stands idle for so long, in milliseconds.
@@ -90,7 +90,7 @@
     /// Zones and kinds.
     pub names: ListNames,
     /// For each kind: whether its hosts are routes apart.
-    pub apart: Vec<bool>,
+    pub own_limits: Vec<bool>,
     /// Columns of a load report, in the order in which the module reads them.
     pub report_columns: Vec<String>,
 }
@@ -102,7 +102,7 @@
     /// All that is listed.
     view: Rc<RefCell<View>>,
     idle: Duration,
-    tries: Rc<Cell<u64>>,
+    attempts_written: Rc<Cell<u64>>,
 }
 
 /// A connection counts as open for as long as this lives, also while it is being set up.
@@ -131,45 +131,45 @@
     pub fn new(s: CarrierSettings, view: Rc<RefCell<View>>) -> HttpCarrier {
         let idle = Duration::from_secs_f64(s.conn_idle_ms.clamp(0.0, 1e9) / 1000.0);
         let idle = idle.saturating_sub(IDLE_MARGIN).max(idle / 2);
-        HttpCarrier { state: RefCell::default(), s, view, idle, tries: Rc::default() }
+        HttpCarrier { state: RefCell::default(), s, view, idle, attempts_written: Rc::default() }
     }
 
     /// Messages that were written whole to hosts.
-    pub fn tries(&self) -> u64 {
-        self.tries.get()
+    pub fn attempts_written(&self) -> u64 {
+        self.attempts_written.get()
     }
 
     /// Waits that bind just now: destination, endpoint where endpoints are routes apart and else empty, and for how
     /// much longer.
-    pub fn waits(&self) -> Vec<(u64, String, Duration)> {
+    pub fn retry_afters(&self) -> Vec<(u64, String, Duration)> {
         let now = Instant::now();
         let state = self.state.borrow();
         let bind = state.waits.iter().filter(|w| *w.1 > now);
         bind.map(|((dest, host), until)| (*dest, host.clone().unwrap_or_default(), *until - now)).collect()
     }
 
-    /// Heeds waits that an earlier process was told, in the form of [`HttpCarrier::waits`].
-    pub fn heed(&self, waits: &[(u64, String, Duration)]) {
+    /// Heeds waits that an earlier process was told, in the form of [`HttpCarrier::retry_afters`].
+    pub fn restore_retry_afters(&self, waits: &[(u64, String, Duration)]) {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         for (dest, host, left) in waits {
-            let lane = (*dest, Some(host.clone()).filter(|host| !host.is_empty()));
-            let wait = state.waits.entry(lane).or_insert(now);
+            let group = (*dest, Some(host.clone()).filter(|host| !host.is_empty()));
+            let wait = state.waits.entry(group).or_insert(now);
             *wait = (*wait).max(now + *left);
         }
     }
 
     /// Heeds a wait that an earlier process was told by this host.
-    pub fn heed_host(&self, endpoint: &str, left: Duration) {
-        let lane = self.state.borrow().hosts.get(endpoint).map(|h| lane(endpoint, h));
-        if let Some((dest, host)) = lane {
-            self.heed(&[(dest, host.unwrap_or_default(), left)]);
+    pub fn restore_host_retry_after(&self, endpoint: &str, left: Duration) {
+        let group = self.state.borrow().hosts.get(endpoint).map(|h| group(endpoint, h));
+        if let Some((dest, host)) = group {
+            self.restore_retry_afters(&[(dest, host.unwrap_or_default(), left)]);
         }
     }
 
     /// Nothing more goes to the hosts that this list has as leaving or, if it is whole, leaves out, from now on: what tells
     /// the decisions of it may have to wait for its turn.
-    pub fn leave(&self, list: &List) {
+    pub fn stop_sending_to_drained(&self, list: &List) {
         let mut state = self.state.borrow_mut();
         if list.snapshot {
             let active = list.endpoints.iter().filter(|e| e.status == Status::Active);
@@ -203,7 +203,7 @@
         let conn = Conn::on(TcpStream::from_std(stream)?).await?;
         let mut state = self.state.borrow_mut();
         let host = state.hosts.get(endpoint).filter(|h| h.active() && h.entry.address == peer);
-        let room = state.open + state.idle.len() < self.s.most_open;
+        let room = state.open + state.idle.len() < self.s.max_open;
         if let (Some(_), true, Some(since)) = (host, room, Instant::now().checked_sub(idle)) {
             state.idle.keep(endpoint, since, conn);
         }
@@ -245,7 +245,7 @@
             }
             *progress.borrow_mut() = Some(conn.progress());
             if dest.is_some() {
-                conn.progress().count_in(self.tries.clone());
+                conn.progress().count_in(self.attempts_written.clone());
             }
             let (head, body) = request();
             let built = head.header(HOST, address.to_string()).body(bytes(body));
@@ -266,8 +266,9 @@
 
     /// One attempt; `progress` is that of the connection that it went out on, if it came so far.
     async fn call(
-        &self, call: &Attempt, gate: &dyn Gate, mut off: CallOff, progress: &RefCell<Option<Rc<Progress>>>,
-    ) -> Ended<()> {
+        &self, call: &Attempt, gate: &dyn SendGate, mut off: Cancellation,
+        progress: &RefCell<Option<Rc<Progress>>>,
+    ) -> AttemptEnd<()> {
         let wait = call.wait();
         let request = || {
             let mut request = Request::post("/inbox")
@@ -293,7 +294,7 @@
         let exchange = self.exchange(&call.endpoint, Some(call.destination), request, begin, progress);
         let outcome = tokio::select! {
             biased;
-            () = off.wanted() => Outcome::Cancelled,
+            () = off.requested() => Outcome::Cancelled,
             r = tokio::time::timeout(wait, exchange) => match r {
                 Ok(Ok(answer)) => return self.read(&call.endpoint, &answer),
                 Ok(Err(Held::NoConnection)) => Outcome::NoConnection,
@@ -306,11 +307,15 @@
         };
         let said_200 = progress.borrow().as_ref().is_some_and(|p| p.status() == Some(200));
         if said_200 {
-            return Ended { settled: true, response: Some(()), ..Ended::bare(Outcome::Delivered) };
+            return AttemptEnd {
+                settled: true,
+                response: Some(()),
+                ..AttemptEnd::without_response(Outcome::Delivered)
+            };
         }
         // The connection is closed by now. What was not written whole can't have run.
         let written = progress.borrow().as_ref().is_some_and(|p| p.complete());
-        Ended::bare(match outcome {
+        AttemptEnd::without_response(match outcome {
             Outcome::NoConnection if written => Outcome::Broken,
             Outcome::Stale if !written => Outcome::NotSent,
             Outcome::Cancelled | Outcome::TimedOut if !written => Outcome::NoConnection,
@@ -332,7 +337,7 @@
                 }
             }
             // Room for one more: the longest idle connection of all goes.
-            if state.open + state.idle.len() >= self.s.most_open && !state.idle.drop_oldest() {
+            if state.open + state.idle.len() >= self.s.max_open && !state.idle.drop_oldest() {
                 return Err(Held::NotNow);
             }
             state.open += 1;
@@ -356,14 +361,14 @@
         let state = self.state.borrow();
         let host =
             state.hosts.get(endpoint).filter(|h| h.active() && dest.is_none_or(|d| d == h.entry.group))?;
-        let waits = state.waits.get(&lane(endpoint, host)).is_some_and(|until| *until > Instant::now());
+        let waits = state.waits.get(&group(endpoint, host)).is_some_and(|until| *until > Instant::now());
         (!waits).then_some(host.entry.address)
     }
 
     /// What an answer means, as it came.
-    fn read(&self, endpoint: &str, answer: &Answer) -> Ended<()> {
+    fn read(&self, endpoint: &str, answer: &Answer) -> AttemptEnd<()> {
         let report = answer.headers.get("X-Load-Report").and_then(|v| self.report(v.as_bytes()));
-        let Meaning { outcome, settled, wait_ms } = Meaning::of(answer.status, &answer.headers);
+        let ParsedOutcome { outcome, settled, wait_ms } = ParsedOutcome::of(answer.status, &answer.headers);
         // Only an answer that came whole, and alone, proves by its status that a call never ran or is over. A
         // wait that was told stands all the same, unless the answer broke off.
         let whole = answer.body.is_some();
@@ -376,12 +381,12 @@
         if wait_ms > 0.0 {
             let until = Instant::now() + Duration::from_secs_f64(wait_ms / 1000.0);
             let mut state = self.state.borrow_mut();
-            if let Some(lane) = state.hosts.get(endpoint).map(|h| lane(endpoint, h)) {
-                let wait = state.waits.entry(lane).or_insert(until);
+            if let Some(group) = state.hosts.get(endpoint).map(|h| group(endpoint, h)) {
+                let wait = state.waits.entry(group).or_insert(until);
                 *wait = (*wait).max(until);
             }
         }
-        Ended { outcome, settled, wait_ms, report: report.unwrap_or_default(), response: Some(()) }
+        AttemptEnd { outcome, settled, wait_ms, report: report.unwrap_or_default(), response: Some(()) }
     }
 
     /// A load report's values in the order of the settings; `None` if it can't be read.
@@ -396,14 +401,14 @@
     type Response = ();
     type List = List;
 
-    fn learn(&self, mut list: List) -> Discovery {
+    fn apply_list(&self, mut list: List) -> ListUpdate {
         let mut state = self.state.borrow_mut();
         let view = self.view.borrow();
         // News may have waited for its turn while its destination made room for another: nobody would be told what becomes of
         // these hosts, so nobody may know them. Where a host was known in another destination it has left that.
         list.endpoints.retain_mut(|e| {
             let known = state.hosts.get(&e.name).map(|h| h.entry.group);
-            if view.uses(e.group) || known == Some(e.group) {
+            if view.is_active(e.group) || known == Some(e.group) {
                 return true;
             }
             (e.status, e.group) = (Status::Left, known.unwrap_or(e.group));
@@ -421,8 +426,8 @@
                 state.remove(&e.name);
                 continue;
             }
-            let apart = self.s.apart.get(self.s.names.kind(&e.kind)).copied().unwrap_or(false);
-            let host = Host { entry: e.clone(), apart };
+            let own_limits = self.s.own_limits.get(self.s.names.kind(&e.kind)).copied().unwrap_or(false);
+            let host = Host { entry: e.clone(), own_limits };
             let active = host.active();
             let before = state.hosts.insert(e.name.clone(), host).map(|h| (h.entry.group, h.entry.address));
             if before.is_none_or(|before| before.0 != e.group) {
@@ -437,8 +442,8 @@
         self.s.names.discovery(&list)
     }
 
-    fn enlist(&self, destination: u64) -> Option<List> {
-        self.view.borrow_mut().enlist(destination)
+    fn activate(&self, destination: u64) -> Option<List> {
+        self.view.borrow_mut().activate(destination)
     }
 
     fn forget(&self, others: &mut dyn FnMut(u64) -> Option<bool>) {
@@ -457,7 +462,7 @@
         });
     }
 
-    async fn attempt(&self, call: &Attempt, gate: &dyn Gate, off: CallOff) -> Ended<()> {
+    async fn attempt(&self, call: &Attempt, gate: &dyn SendGate, off: Cancellation) -> AttemptEnd<()> {
         let progress: RefCell<Option<Rc<Progress>>> = RefCell::default();
         let ended = self.call(call, gate, off, &progress).await;
         let progress = progress.borrow();
@@ -496,8 +501,8 @@
     }
 }
 
-fn lane(endpoint: &str, host: &Host) -> Lane {
-    (host.entry.group, host.apart.then(|| endpoint.to_string()))
+fn group(endpoint: &str, host: &Host) -> EndpointGroupKey {
+    (host.entry.group, host.own_limits.then(|| endpoint.to_string()))
 }
 
 #[cfg(test)]
--- a/crates/http/src/carrier/tests.rs
+++ b/crates/http/src/carrier/tests.rs
@@ -3,11 +3,11 @@
 fn carrier(room: usize) -> (HttpCarrier, Rc<RefCell<View>>) {
     let view = Rc::new(RefCell::new(View::new(Vec::new(), room)));
     let settings = CarrierSettings {
-        most_open: 4,
+        max_open: 4,
         connect_timeout: Duration::from_secs(1),
         conn_idle_ms: 1000.0,
         names: ListNames::default(),
-        apart: Vec::new(),
+        own_limits: Vec::new(),
         report_columns: Vec::new(),
     };
     (HttpCarrier::new(settings, view.clone()), view)
@@ -27,21 +27,21 @@
 fn news_of_a_destination_that_made_room_meanwhile_is_not_learnt() {
     let (carrier, view) = carrier(1);
     let agent = SocketAddr::from(([127, 0, 0, 1], 1));
-    let told = |text: &str| view.borrow_mut().told(agent, list(text), 0.0).unwrap().list;
+    let told = |text: &str| view.borrow_mut().apply(agent, list(text), 0.0).unwrap().list;
     let (a, b) = (host("a", 1, "active"), host("b", 2, "active"));
     let waits = told(&format!(r#"{{"index":1,"snapshot":true,"endpoints":[{a},{b}]}}"#));
     assert_eq!(waits.endpoints.len(), 1, "there is room for the first alone");
-    let second = carrier.enlist(2).expect("it comes into use");
-    carrier.learn(second);
+    let second = carrier.activate(2).expect("it comes into use");
+    carrier.apply_list(second);
     // The first was not used since, and nobody knows it yet.
-    while view.borrow().uses(1) {
+    while view.borrow().is_active(1) {
         view.borrow_mut().shrink(|destination| Some(destination == 1));
     }
-    carrier.learn(waits);
+    carrier.apply_list(waits);
     assert!(carrier.may_write("a", Some(1)).is_none(), "not in use");
     let gone = host("a", 1, "left");
     assert!(told(&format!(r#"{{"index":2,"snapshot":false,"endpoints":[{gone}]}}"#)).endpoints.is_empty());
-    assert!(carrier.enlist(1).is_none() && carrier.may_write("a", Some(1)).is_none(), "it has left");
+    assert!(carrier.activate(1).is_none() && carrier.may_write("a", Some(1)).is_none(), "it has left");
     assert!(carrier.may_write("b", Some(2)).is_some());
 }
 
@@ -52,13 +52,15 @@
     let host = |name: &str, status: &str| host(name, 1, status);
     let (a, b) = (host("a", "active"), host("b", "active"));
     let known = list(&format!(r#"{{"index":1,"snapshot":true,"endpoints":[{a},{b}]}}"#));
-    let known = view.borrow_mut().known(known);
-    carrier.learn(known);
+    let known = view.borrow_mut().apply_known(known);
+    carrier.apply_list(known);
     assert!(carrier.may_write("a", Some(1)).is_some() && carrier.may_write("b", Some(1)).is_some());
     let leaving = host("a", "leaving");
-    carrier.leave(&list(&format!(r#"{{"index":2,"snapshot":false,"endpoints":[{leaving}]}}"#)));
+    carrier.stop_sending_to_drained(&list(&format!(
+        r#"{{"index":2,"snapshot":false,"endpoints":[{leaving}]}}"#
+    )));
     assert!(carrier.may_write("a", Some(1)).is_none(), "told to be leaving");
     assert!(carrier.may_write("b", Some(1)).is_some(), "not named in what changed");
-    carrier.leave(&list(r#"{"index":3,"snapshot":true,"endpoints":[]}"#));
+    carrier.stop_sending_to_drained(&list(r#"{"index":3,"snapshot":true,"endpoints":[]}"#));
     assert!(carrier.may_write("b", None).is_none(), "left out of a whole list");
 }
--- a/crates/http/src/guest.rs
+++ b/crates/http/src/client_connection.rs
@@ -58,7 +58,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Turn {
+pub enum RequestPhase {
     /// No request is open.
     Idle,
     /// A request has begun to come.
@@ -69,7 +69,7 @@
 
 /// How a connection has to leave, the sterner the later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Leave {
+pub enum CloseMode {
     /// It need not.
     No,
     /// After the request at hand, or at once if one was answered and none is at hand. One that is new may still bring its
@@ -92,8 +92,8 @@
 }
 
 /// What is known of a client connection.
-pub struct Guest {
-    pub turn: Cell<Turn>,
+pub struct ClientConnection {
+    pub turn: Cell<RequestPhase>,
     pub since: Cell<Instant>,
     framing: RefCell<Framing>,
     raw: RefCell<Raw>,
@@ -101,7 +101,7 @@
     answering: Cell<bool>,
     /// A head came whose length can be read in two ways: another request may hide in the body.
     ambiguous: Cell<bool>,
-    leave: Cell<Leave>,
+    leave: Cell<CloseMode>,
     /// Told to leave: it is to be looked at.
     pub told: Notify,
     /// A request was answered.
@@ -118,16 +118,16 @@
     audited: RefCell<Option<String>>,
 }
 
-impl Guest {
-    pub fn new(number: u64, crowded: Rc<Cell<bool>>) -> Guest {
-        Guest {
-            turn: Cell::new(Turn::Idle),
+impl ClientConnection {
+    pub fn new(number: u64, crowded: Rc<Cell<bool>>) -> ClientConnection {
+        ClientConnection {
+            turn: Cell::new(RequestPhase::Idle),
             since: Cell::new(Instant::now()),
             framing: RefCell::new(Framing::Head(Vec::new())),
             raw: RefCell::default(),
             answering: Cell::new(false),
             ambiguous: Cell::new(false),
-            leave: Cell::new(Leave::No),
+            leave: Cell::new(CloseMode::No),
             told: Notify::new(),
             served: Cell::new(false),
             lingers: Cell::new(false),
@@ -138,18 +138,18 @@
         }
     }
 
-    fn turn(&self, turn: Turn) {
+    fn turn(&self, turn: RequestPhase) {
         if self.turn.replace(turn) != turn {
             self.since.set(Instant::now());
         }
     }
 
     pub fn reading(&self) {
-        self.turn(Turn::Reading);
+        self.turn(RequestPhase::Reading);
     }
 
     pub fn answering(&self) {
-        self.turn(Turn::Answering);
+        self.turn(RequestPhase::Answering);
     }
 
     /// The request is answered; that has still to be written.
@@ -157,7 +157,7 @@
         self.raw.borrow_mut().answered();
         self.served.set(true);
         // What came along with the request that is answered may be a part of the next one.
-        self.turn(if self.between_requests() { Turn::Idle } else { Turn::Reading });
+        self.turn(if self.between_requests() { RequestPhase::Idle } else { RequestPhase::Reading });
         self.answering.set(true);
     }
 
@@ -174,31 +174,31 @@
 
     /// Nobody is owed anything on it, by the bytes that were read.
     pub fn quiet(&self) -> bool {
-        self.turn.get() == Turn::Idle && !self.unwritten() && self.between_requests()
+        self.turn.get() == RequestPhase::Idle && !self.unwritten() && self.between_requests()
     }
 
     /// A part of a request has come, and no answer to it is due or on its way out.
     pub fn half_read(&self) -> bool {
-        self.turn.get() == Turn::Reading && !self.unwritten()
+        self.turn.get() == RequestPhase::Reading && !self.unwritten()
     }
 
     /// Whether it is to go, and may: by the bytes that were read.
     pub fn may_go(&self) -> bool {
         match self.leave.get() {
-            Leave::No => false,
-            Leave::AfterAnswer => self.quiet() && self.served.get(),
-            Leave::WhenQuiet => self.quiet(),
-            Leave::TooSlow | Leave::Now => self.quiet() || self.half_read(),
+            CloseMode::No => false,
+            CloseMode::AfterAnswer => self.quiet() && self.served.get(),
+            CloseMode::WhenQuiet => self.quiet(),
+            CloseMode::TooSlow | CloseMode::Now => self.quiet() || self.half_read(),
         }
     }
 
     /// How it has to leave.
-    pub fn leaves(&self) -> Leave {
+    pub fn leaves(&self) -> CloseMode {
         self.leave.get()
     }
 
     /// It has to leave, this way or the sterner one that it was told before.
-    pub fn dismiss(&self, how: Leave) {
+    pub fn dismiss(&self, how: CloseMode) {
         self.leave.set(how.max(self.leave.get()));
         self.told.notify_one();
     }
@@ -235,8 +235,8 @@
     /// on its way out, or what has come can't be read anew.
     pub fn hand_over(&self) -> Option<Vec<u8>> {
         let raw = self.raw.borrow();
-        let busy = self.turn.get() == Turn::Answering || self.answering.get();
-        (!busy && !raw.cut && self.leave.get() < Leave::WhenQuiet).then(|| raw.bytes.clone())
+        let busy = self.turn.get() == RequestPhase::Answering || self.answering.get();
+        (!busy && !raw.cut && self.leave.get() < CloseMode::WhenQuiet).then(|| raw.bytes.clone())
     }
 
     /// When the request that is coming must be there.
@@ -253,16 +253,16 @@
     pub fn ends(&self) -> bool {
         self.ambiguous.get()
             || self.crowded.get()
-            || self.leave.get() > Leave::No
+            || self.leave.get() > CloseMode::No
             || matches!(*self.framing.borrow(), Framing::Last)
     }
 
     pub fn overstays(&self, now: Instant) -> bool {
         let most = match self.turn.get() {
-            Turn::Idle => IDLE,
-            Turn::Reading => REQUEST,
+            RequestPhase::Idle => IDLE,
+            RequestPhase::Reading => REQUEST,
             // The module answers each request in the round that takes it.
-            Turn::Answering => return false,
+            RequestPhase::Answering => return false,
         };
         now.saturating_duration_since(self.since.get()) > most
     }
@@ -286,8 +286,8 @@
                     }
                 }
                 Framing::Head(head) => {
-                    if self.turn.get() == Turn::Idle {
-                        self.turn(Turn::Reading);
+                    if self.turn.get() == RequestPhase::Idle {
+                        self.turn(RequestPhase::Reading);
                     }
                     let had = head.len();
                     head.extend_from_slice(bytes);
--- a/crates/http/src/clients.rs
+++ b/crates/http/src/clients.rs
@@ -1,9 +1,9 @@
 //! Client connections: how many there may be, and the end of those that say nothing or take too long. What a
 //! request says is intake.rs's job.
 
+use crate::client_connection::{ClientConnection, CloseMode, RequestPhase, MOST_HEAD};
 use crate::close::{self, Socket};
-use crate::guest::{Guest, Leave, Turn, MOST_HEAD};
-use crate::intake::{Away, Intake};
+use crate::intake::{DrainMode, Intake};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -44,12 +44,12 @@
     io: Socket,
     /// What an earlier process had read of it and not answered, and how far that has been read anew.
     before: (Vec<u8>, usize),
-    guest: Rc<Guest>,
+    connection: Rc<ClientConnection>,
 }
 
 /// A client's connection on its way from one process to the next.
 #[derive(Debug)]
-pub struct Passed {
+pub struct HandedOverConnection {
     /// The connection.
     pub stream: std::net::TcpStream,
     /// What has come on it and is not answered.
@@ -68,13 +68,13 @@
             if *at == before.len() {
                 self.before = (Vec::new(), 0);
             }
-            self.guest.saw(&more);
+            self.connection.saw(&more);
             buf.put_slice(&more);
             return Poll::Ready(Ok(()));
         }
         let mut read = ReadBuf::uninit(&mut bytes[..most]);
         std::task::ready!(Pin::new(&mut *self.io.borrow_mut()).poll_read(cx, &mut read))?;
-        self.guest.saw(read.filled());
+        self.connection.saw(read.filled());
         buf.put_slice(read.filled());
         Poll::Ready(Ok(()))
     }
@@ -86,7 +86,7 @@
     }
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
         // Asked for when nothing is left to be written.
-        self.guest.flushed();
+        self.connection.flushed();
         Pin::new(&mut *self.io.borrow_mut()).poll_flush(cx)
     }
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
@@ -98,7 +98,7 @@
 pub struct Clients {
     intake: Rc<Intake>,
     places: Arc<Semaphore>,
-    guests: RefCell<BTreeMap<u64, Rc<Guest>>>,
+    guests: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
     /// From so many on, an answer closes its connection. Clients hold only so many of their own, and one that
     /// asks once and stays takes one of them for 2 s from a client that has something to hand in.
     crowd: usize,
@@ -109,7 +109,7 @@
     drains: Cell<u64>,
     numbers: Cell<u64>,
     /// Where connections go once another process goes on.
-    pass: watch::Sender<Option<UnboundedSender<Passed>>>,
+    pass: watch::Sender<Option<UnboundedSender<HandedOverConnection>>>,
 }
 
 impl Clients {
@@ -128,17 +128,17 @@
     /// Sends clients elsewhere, or takes them again. First health says no; once the front has seen that, each answer
     /// closes its connection, and later whoever is still here is left. Nothing that is handed in is turned away for it.
     pub fn drain(self: &Rc<Self>, on: bool) {
-        let already = self.intake.away.get() > Away::No;
+        let already = self.intake.away.get() > DrainMode::No;
         if on == already {
             return;
         }
         self.drains.set(self.drains.get() + 1);
         if !on {
-            self.intake.away.set(Away::No);
+            self.intake.away.set(DrainMode::No);
             self.close.send_replace(false);
             return;
         }
-        self.intake.away.set(Away::Unwell);
+        self.intake.away.set(DrainMode::Unwell);
         let (this, drain, start) = (self.clone(), self.drains.get(), tokio::time::Instant::now());
         tokio::task::spawn_local(async move {
             for after in [DRAIN_CLOSING, DRAIN_IDLE, DRAIN_ALL] {
@@ -147,7 +147,7 @@
                     return;
                 }
                 match after {
-                    DRAIN_CLOSING => this.intake.away.set(Away::Closing),
+                    DRAIN_CLOSING => this.intake.away.set(DrainMode::Closing),
                     DRAIN_IDLE => this.close_idle(),
                     _ => this.dismiss_all(),
                 }
@@ -162,7 +162,7 @@
         let all_go = Instant::now() + within;
         loop {
             if Instant::now() < all_go {
-                self.guests.borrow().values().for_each(|g| g.dismiss(Leave::WhenQuiet));
+                self.guests.borrow().values().for_each(|g| g.dismiss(CloseMode::WhenQuiet));
             } else {
                 self.dismiss_all();
             }
@@ -176,15 +176,15 @@
 
     /// Each goes once no answer is due on it; a request that is not whole is refused.
     fn dismiss_all(&self) {
-        self.guests.borrow().values().for_each(|g| g.dismiss(Leave::Now));
+        self.guests.borrow().values().for_each(|g| g.dismiss(CloseMode::Now));
     }
 
-    fn come(&self, number: u64) -> Rc<Guest> {
-        let guest = Rc::new(Guest::new(number, self.crowded.clone()));
+    fn come(&self, number: u64) -> Rc<ClientConnection> {
+        let connection = Rc::new(ClientConnection::new(number, self.crowded.clone()));
         let mut guests = self.guests.borrow_mut();
-        guests.insert(number, guest.clone());
+        guests.insert(number, connection.clone());
         self.crowded.set(guests.len() > self.crowd);
-        guest
+        connection
     }
 
     fn go(&self, number: u64) {
@@ -198,10 +198,10 @@
         loop {
             tokio::time::sleep(SWEEP).await;
             let now = Instant::now();
-            for guest in self.guests.borrow().values().filter(|g| g.overstays(now)) {
-                let told = guest.leaves() >= Leave::WhenQuiet;
-                let idle = guest.turn.get() == Turn::Idle && !told;
-                guest.dismiss(if idle { Leave::WhenQuiet } else { Leave::TooSlow });
+            for connection in self.guests.borrow().values().filter(|g| g.overstays(now)) {
+                let told = connection.leaves() >= CloseMode::WhenQuiet;
+                let idle = connection.turn.get() == RequestPhase::Idle && !told;
+                connection.dismiss(if idle { CloseMode::WhenQuiet } else { CloseMode::TooSlow });
             }
         }
     }
@@ -213,14 +213,18 @@
         if let Some(closed) = guests.values().find(|g| g.lingers.get()) {
             return closed.hurry.notify_one();
         }
-        let stays = |g: &&Rc<Guest>| g.leaves() < Leave::WhenQuiet && g.turn.get() != Turn::Answering;
+        let stays = |g: &&Rc<ClientConnection>| {
+            g.leaves() < CloseMode::WhenQuiet && g.turn.get() != RequestPhase::Answering
+        };
         let longest = guests.values().filter(stays).min_by_key(|g| (!g.quiet(), g.since.get()));
-        longest.into_iter().for_each(|g| g.dismiss(if g.quiet() { Leave::WhenQuiet } else { Leave::Now }));
+        longest
+            .into_iter()
+            .for_each(|g| g.dismiss(if g.quiet() { CloseMode::WhenQuiet } else { CloseMode::Now }));
     }
 
     /// Another process goes on: all connections go there, each once no answer is due on it. The listener is left to
     /// it, too.
-    pub fn pass(&self, to: UnboundedSender<Passed>) {
+    pub fn pass(&self, to: UnboundedSender<HandedOverConnection>) {
         self.pass.send_replace(Some(to));
     }
 
@@ -253,7 +257,7 @@
     ///
     /// # Errors
     /// What making it a connection of this process gives.
-    pub async fn take_over(self: &Rc<Self>, passed: Passed) -> io::Result<()> {
+    pub async fn take_over(self: &Rc<Self>, passed: HandedOverConnection) -> io::Result<()> {
         passed.stream.set_nonblocking(true)?;
         self.admit(TcpStream::from_std(passed.stream)?, passed.unread).await;
         Ok(())
@@ -267,23 +271,23 @@
         let Ok(Ok(place)) = place else { return };
         let number = self.numbers.get();
         self.numbers.set(number + 1);
-        let guest = self.come(number);
+        let connection = self.come(number);
         let clients = self.clone();
         tokio::task::spawn_local(async move {
-            clients.serve_client(stream, unread, &guest).await;
-            guest.gone();
+            clients.serve_client(stream, unread, &connection).await;
+            connection.gone();
             clients.go(number);
             drop(place);
         });
     }
 
-    async fn serve_client(&self, io: TcpStream, unread: Vec<u8>, guest: &Rc<Guest>) {
+    async fn serve_client(&self, io: TcpStream, unread: Vec<u8>, connection: &Rc<ClientConnection>) {
         let _slower_without = io.set_nodelay(true);
-        let service = service_fn(|request| self.intake.request(request, guest));
+        let service = service_fn(|request| self.intake.request(request, connection));
         let mut server = http1::Builder::new();
         server.max_buf_size(MOST_HEAD);
         let io: Socket = Rc::new(RefCell::new(io));
-        let watched = Watched { io: io.clone(), before: (unread, 0), guest: guest.clone() };
+        let watched = Watched { io: io.clone(), before: (unread, 0), connection: connection.clone() };
         let mut conn = server.serve_connection(watched, service);
         let (mut close, mut pass) = (self.close.subscribe(), self.pass.subscribe());
         // What comes after idle connections were closed may be a request that crossed the close, sent once
@@ -299,11 +303,11 @@
                 }
                 if passing {
                     // Once nothing is due on it, it goes to the other process as it stands.
-                    if let Some(unread) = guest.hand_over() {
+                    if let Some(unread) = connection.hand_over() {
                         return Poll::Ready(Some(unread));
                     }
                 }
-                match guest.may_go() && !close::unread(&io) {
+                match connection.may_go() && !close::unread(&io) {
                     true => Poll::Ready(None),
                     false => Poll::Pending,
                 }
@@ -311,15 +315,15 @@
             tokio::select! {
                 biased;
                 over = over => break over,
-                () = guest.told.notified() => {
+                () = connection.told.notified() => {
                     // It goes at the next look, or an answer is due on it, which comes soon or never.
-                    let now = (guest.leaves() >= Leave::TooSlow).then(Instant::now);
+                    let now = (connection.leaves() >= CloseMode::TooSlow).then(Instant::now);
                     give_up_at = give_up_at.or(now.map(|now| now + close::LAST_ANSWER));
                 }
                 () = until(give_up_at) => break None,
                 Ok(_) = pass.wait_for(Option::is_some), if !passing => {}
-                Ok(_) = close.wait_for(|close| *close), if !late && guest.leaves() == Leave::No => {
-                    guest.dismiss(Leave::AfterAnswer);
+                Ok(_) = close.wait_for(|close| *close), if !late && connection.leaves() == CloseMode::No => {
+                    connection.dismiss(CloseMode::AfterAnswer);
                 }
             }
         };
@@ -329,14 +333,14 @@
             let unread = [&unread[..], earlier.get(at..).unwrap_or_default()].concat();
             let stream = Rc::into_inner(io).map(|io| io.into_inner().into_std());
             if let (Some(Ok(stream)), Some(to)) = (stream, &*self.pass.borrow()) {
-                let _process_ends = to.send(Passed { stream, unread });
+                let _process_ends = to.send(HandedOverConnection { stream, unread });
             }
             return;
         }
         // hyper answers for itself what it can make nothing of.
-        let answer = match guest.leaves() {
-            Leave::TooSlow if guest.half_read() => Some(close::TOO_SLOW),
-            Leave::Now if guest.half_read() => Some(close::REFUSAL),
+        let answer = match connection.leaves() {
+            CloseMode::TooSlow if connection.half_read() => Some(close::TOO_SLOW),
+            CloseMode::Now if connection.half_read() => Some(close::REFUSAL),
             _ => None,
         };
         drop(conn);
@@ -347,7 +351,7 @@
         let Some(io) = Rc::into_inner(io) else { return };
         let crowded = self.places.available_permits() == 0;
         let within = if crowded { close::LINGER_CROWDED } else { close::LINGER };
-        close::close(io.into_inner(), guest, within).await;
+        close::close(io.into_inner(), connection, within).await;
     }
 }
 
