--- a/crates/http/src/close.rs
+++ b/crates/http/src/close.rs
@@ -3,7 +3,7 @@
 //! comes is read and dropped until the client closes as well, within bounds. What is read after that is never sent on: its
 //! client has seen the end, and sends it again elsewhere.
 
-use crate::guest::Guest;
+use crate::client_connection::ClientConnection;
 use std::cell::RefCell;
 use std::io;
 use std::mem::MaybeUninit;
@@ -39,8 +39,8 @@
 }
 
 /// Closes: in order, and for so long at most, or until its place is needed.
-pub async fn close(mut io: TcpStream, guest: &Guest, within: Duration) {
-    guest.lingers.set(true);
+pub async fn close(mut io: TcpStream, connection: &ClientConnection, within: Duration) {
+    connection.lingers.set(true);
     let _shut_already = io.shutdown().await;
     let mut dropped = 0;
     let until_closed = async {
@@ -55,6 +55,6 @@
     tokio::select! {
         biased;
         _in_time_or_not = tokio::time::timeout(within, until_closed) => {}
-        () = guest.hurry.notified() => {}
+        () = connection.hurry.notified() => {}
     }
 }
--- a/crates/http/src/discovery.rs
+++ b/crates/http/src/discovery.rs
@@ -2,7 +2,7 @@
 //! agent may move: from then on the new one is asked, and first for the whole list.
 
 use crate::conn::{bytes, Conn};
-use crate::schedule::Calls;
+use crate::schedule::PollCost;
 use hyper::{Request, StatusCode};
 use mulleinslip_membership::List;
 use std::fmt;
@@ -15,7 +15,7 @@
 const BODY: Duration = Duration::from_millis(1000);
 const CONNECT: Duration = Duration::from_millis(1000);
 /// A list is read this far where nothing else is said, in bytes: thousands of hosts.
-pub const MOST_LIST: usize = 1 << 20;
+pub const MAX_LIST_BYTES: usize = 1 << 20;
 /// So many answers in a row that are older than the list held mean that discovery began its count anew.
 const OLDER_IN_A_ROW: u32 = 3;
 
@@ -34,7 +34,7 @@
 
 /// Why a call for the list told nothing.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unheard {
+pub enum FetchError {
     /// No answer, or none that can be read, in words.
     Failed(String),
     /// The list is longer than what is read.
@@ -46,20 +46,20 @@
     },
 }
 
-impl fmt::Display for Unheard {
+impl fmt::Display for FetchError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Unheard::Failed(why) => f.write_str(why),
-            Unheard::TooLarge { size, most } => {
+            FetchError::Failed(why) => f.write_str(why),
+            FetchError::TooLarge { size, most } => {
                 write!(f, "a list of {size} bytes; {most} are read at most, by limits.memory_mb")
             }
         }
     }
 }
 
-impl From<String> for Unheard {
-    fn from(why: String) -> Unheard {
-        Unheard::Failed(why)
+impl From<String> for FetchError {
+    fn from(why: String) -> FetchError {
+        FetchError::Failed(why)
     }
 }
 
@@ -67,15 +67,15 @@
 pub struct Discovery {
     address: SocketAddr,
     conn: Option<Conn>,
-    calls: Calls,
+    calls: PollCost,
     /// How far a list is read, in bytes.
     most: usize,
 }
 
 impl Discovery {
     /// An agent that was not asked yet.
-    pub fn new(address: SocketAddr, calls: Calls) -> Discovery {
-        Discovery { address, conn: None, calls, most: MOST_LIST }
+    pub fn new(address: SocketAddr, calls: PollCost) -> Discovery {
+        Discovery { address, conn: None, calls, most: MAX_LIST_BYTES }
     }
 
     /// Reads lists up to so many bytes.
@@ -92,11 +92,11 @@
     /// many relays the watch has to do, which tells what was missed. An older answer to that first call is believed: the list
     /// known may come from another agent, whose versions need not agree with this one's.
     pub fn start_after(&self, known: u64) -> Option<u64> {
-        (self.calls == Calls::Dear).then_some(known)
+        (self.calls == PollCost::Costly).then_some(known)
     }
 
     /// The whole list (`after` is `None`), or what is newer than that version.
-    pub async fn ask(&mut self, after: Option<u64>) -> Result<List, Unheard> {
+    pub async fn ask(&mut self, after: Option<u64>) -> Result<List, FetchError> {
         let path = match after {
             None => "/catalog/members".to_string(),
             Some(index) => {
@@ -118,7 +118,7 @@
             return Err(format!("answer {}", answer.status).into());
         }
         if let Some(size) = answer.too_long {
-            return Err(Unheard::TooLarge { size, most: self.most });
+            return Err(FetchError::TooLarge { size, most: self.most });
         }
         let body = answer.body.ok_or_else(|| "the answer broke off".to_string())?;
         self.conn = Some(conn);
@@ -148,7 +148,7 @@
                 Ok(()) => Ok(list),
                 Err(e) => {
                     older += 1;
-                    Err(Unheard::Failed(e))
+                    Err(FetchError::Failed(e))
                 }
             });
             if older >= OLDER_IN_A_ROW {
@@ -170,7 +170,7 @@
                     if failures == 0 {
                         eprintln!("mulleinslip: discovery: {e}; the list held stays in force");
                     }
-                    let too_large = matches!(e, Unheard::TooLarge { .. });
+                    let too_large = matches!(e, FetchError::TooLarge { .. });
                     let pause = self.calls.pause(failures, too_large, fastrand::f64());
                     let _moved_or_not = timeout(pause, place.changed()).await;
                     failures = failures.saturating_add(1);
--- a/crates/http/src/front.rs
+++ b/crates/http/src/front.rs
@@ -4,7 +4,7 @@
 use crate::answer::{Answer, Ticket};
 use crate::audit::{self, Step};
 use crate::notices::Notice;
-use mulleinslip_engine::{Final, Told, Turned};
+use mulleinslip_engine::{FinalAnswer, FrontReply, Rejection};
 use mulleinslip_runtime::Front;
 use tokio::sync::mpsc::UnboundedSender;
 
@@ -21,27 +21,29 @@
 }
 
 impl Front<Ticket, ()> for HttpFront {
-    fn told(&mut self, told: Told<Ticket, ()>) {
+    fn reply(&mut self, told: FrontReply<Ticket, ()>) {
         let (ticket, answer) = match told {
-            Told::Taken { ticket, .. } | Told::Known { ticket, .. } => (ticket, Answer::Taken),
-            Told::Turned { ticket, why: Turned::Refused { again_ms } } => {
-                (ticket, Answer::Refused { retry_after_ms: again_ms })
+            FrontReply::Accepted { ticket, .. } | FrontReply::Duplicate { ticket, .. } => {
+                (ticket, Answer::Taken)
             }
-            Told::Turned { ticket, why: Turned::Failed } => (ticket, Answer::Failed),
-            Told::Final { id, call_id, answer } => {
+            FrontReply::Rejected { ticket, why: Rejection::Refused { retry_after_ms } } => {
+                (ticket, Answer::Refused { retry_after_ms })
+            }
+            FrontReply::Rejected { ticket, why: Rejection::Failed } => (ticket, Answer::Failed),
+            FrontReply::Final { id, call_id, answer } => {
                 let outcome = match &answer {
-                    Final::Delivered(()) => "delivered",
-                    Final::DeliveredLate(()) => "delivered_late",
-                    Final::Over(_) => "over",
-                    Final::Refused { .. } => "deferred",
-                    Final::Failed { .. } => "undeliverable",
+                    FinalAnswer::Delivered(()) => "delivered",
+                    FinalAnswer::DeliveredLate(()) => "delivered_late",
+                    FinalAnswer::EndedByPartner(_) => "over",
+                    FinalAnswer::Refused { .. } => "deferred",
+                    FinalAnswer::Failed { .. } => "undeliverable",
                 };
                 audit::note(&call_id, || Step::Final { outcome });
                 let deferred = match answer {
                     // The partner's 200 or 410 is all that the platform needs.
-                    Final::Delivered(()) | Final::Over(_) => return,
-                    Final::Refused { again_ms, .. } => Some(again_ms),
-                    Final::Failed { .. } | Final::DeliveredLate(()) => None,
+                    FinalAnswer::Delivered(()) | FinalAnswer::EndedByPartner(_) => return,
+                    FinalAnswer::Refused { retry_after_ms, .. } => Some(retry_after_ms),
+                    FinalAnswer::Failed { .. } | FinalAnswer::DeliveredLate(()) => None,
                 };
                 let _stopped = self.notices.send(Notice { id, call_id, deferred });
                 return;
--- a/crates/http/src/intake.rs
+++ b/crates/http/src/intake.rs
@@ -2,8 +2,8 @@
 
 use crate::answer::Answer;
 use crate::audit::{self, Step};
+use crate::client_connection::ClientConnection;
 use crate::conn::{bytes, collect, Body};
-use crate::guest::Guest;
 use crate::handle::Handle;
 use bytes::Bytes;
 use hyper::body::{Body as _, Incoming};
@@ -32,14 +32,14 @@
     /// After SIGTERM nothing new is taken on, and connections are not kept.
     pub stopping: Cell<bool>,
     /// Whether clients are sent elsewhere, see [`crate::Clients::drain`].
-    pub away: Cell<Away>,
+    pub away: Cell<DrainMode>,
     /// What is handed in waits as long as this says so: another process may be about to go on.
     pub paused: watch::Sender<bool>,
 }
 
 /// How far clients are sent elsewhere. What they hand in meanwhile is taken on as ever.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Away {
+pub enum DrainMode {
     /// They are welcome.
     #[default]
     No,
@@ -54,43 +54,45 @@
 type Bad = (StatusCode, &'static str);
 
 impl Intake {
-    pub async fn request(&self, request: Request<Incoming>, guest: &Guest) -> Result<Reply, Infallible> {
-        guest.reading();
+    pub async fn request(
+        &self, request: Request<Incoming>, connection: &ClientConnection,
+    ) -> Result<Reply, Infallible> {
+        connection.reading();
         let health = request.uri().path() == "/_health";
         let mut reply = if health {
             match *request.method() {
                 // Nobody new should come here any more.
                 _ if self.stopping.get() => plain(StatusCode::SERVICE_UNAVAILABLE, "stopping\n"),
-                _ if self.away.get() > Away::No => plain(StatusCode::SERVICE_UNAVAILABLE, "drained\n"),
+                _ if self.away.get() > DrainMode::No => plain(StatusCode::SERVICE_UNAVAILABLE, "drained\n"),
                 Method::GET | Method::HEAD => plain(StatusCode::OK, ""),
                 _ => plain(StatusCode::METHOD_NOT_ALLOWED, "GET only\n"),
             }
         } else {
-            match self.read(request, guest).await {
+            match self.read(request, connection).await {
                 Ok(message) => {
                     // Not answering yet: until it is handed in, the connection may go to the other process.
                     if *self.paused.borrow() {
                         let _never_gone = self.paused.subscribe().wait_for(|paused| !paused).await.is_ok();
                     }
-                    guest.answering();
-                    self.hand_in(message, guest).await
+                    connection.answering();
+                    self.submit(message, connection).await
                 }
                 Err((status, why)) => plain(status, why),
             }
         };
-        guest.idle();
+        connection.idle();
         // Whoever sends what can't be taken has to connect again to send more.
-        let away = self.stopping.get() || self.away.get() == Away::Closing;
-        if away || guest.ends() || reply.status().is_client_error() {
+        let away = self.stopping.get() || self.away.get() == DrainMode::Closing;
+        if away || connection.ends() || reply.status().is_client_error() {
             reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         Ok(reply)
     }
 
-    async fn hand_in(&self, message: Message, guest: &Guest) -> Reply {
+    async fn submit(&self, message: Message, connection: &ClientConnection) -> Reply {
         let (answer, answered) = oneshot::channel();
-        let (call_id, client) = (message.call_id.clone(), guest.number);
-        guest.audit(&call_id);
+        let (call_id, client) = (message.call_id.clone(), connection.number);
+        connection.audit(&call_id);
         audit::note(&call_id, || Step::Handed {
             client,
             due: message.due,
@@ -98,7 +100,7 @@
             destination: message.destination,
         });
         // If this request's connection ends first, `answered` is dropped, and the message is left.
-        let _or_stopped = self.engine.hand_in(Box::new(message), answer);
+        let _or_stopped = self.engine.submit(Box::new(message), answer);
         let reply = match answered.await {
             Ok(Answer::Taken) => plain(StatusCode::ACCEPTED, ""),
             Ok(Answer::Failed) => plain(StatusCode::INTERNAL_SERVER_ERROR, "not delivered\n"),
@@ -110,9 +112,9 @@
     }
 
     /// Reads a request whole and checks it.
-    async fn read(&self, request: Request<Incoming>, guest: &Guest) -> Result<Message, Bad> {
+    async fn read(&self, request: Request<Incoming>, connection: &ClientConnection) -> Result<Message, Bad> {
         const BAD: StatusCode = StatusCode::BAD_REQUEST;
-        if guest.ambiguous() {
+        if connection.ambiguous() {
             return Err((BAD, "the length can be read in two ways\n"));
         }
         let (head, body) = request.into_parts();
@@ -149,7 +151,7 @@
         if body.size_hint().lower() > MOST_BODY as u64 {
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "64 KiB at most\n"));
         }
-        let within = guest.deadline() - BODY_MARGIN;
+        let within = connection.deadline() - BODY_MARGIN;
         let body = tokio::time::timeout_at(within.into(), collect(body, MOST_BODY)).await;
         let body = body.map_err(|_| (StatusCode::REQUEST_TIMEOUT, "the body did not come\n"))?;
         let body = body.map_err(|too_long| match too_long {
--- a/crates/http/src/outcomes.rs
+++ b/crates/http/src/outcomes.rs
@@ -8,7 +8,7 @@
 
 /// What an answer means, if it came whole.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Meaning {
+pub struct ParsedOutcome {
     /// What the attempt came to.
     pub outcome: Outcome,
     /// The message is over, and nothing more is owed.
@@ -17,9 +17,9 @@
     pub wait_ms: f64,
 }
 
-impl Meaning {
+impl ParsedOutcome {
     /// By status and head.
-    pub fn of(status: StatusCode, headers: &HeaderMap) -> Meaning {
+    pub fn of(status: StatusCode, headers: &HeaderMap) -> ParsedOutcome {
         let (outcome, settled) = match status {
             StatusCode::OK => (Outcome::Delivered, true),
             StatusCode::TOO_MANY_REQUESTS => (Outcome::Full, false),
@@ -31,7 +31,7 @@
             _ => (Outcome::Error, false),
         };
         let wait_ms = if outcome == Outcome::Full { retry_after_ms(headers) } else { 0.0 };
-        Meaning { outcome, settled, wait_ms }
+        ParsedOutcome { outcome, settled, wait_ms }
     }
 }
 
--- a/crates/http/src/schedule.rs
+++ b/crates/http/src/schedule.rs
@@ -28,45 +28,45 @@
 
 /// What a call for the list costs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Calls {
+pub enum PollCost {
     /// Nothing: the list is pushed to an agent on the relay's own machine, which answers at once. What the agent has counts
     /// as told to the relay, so each moment without a call out is one in which a host may leave unheard.
     Free,
     /// Time of a discovery that many relays share: calls are spread and seldom.
-    Dear,
+    Costly,
 }
 
-impl Calls {
+impl PollCost {
     /// Of one of so many relays, where the list is pushed or has to be asked for.
-    pub fn of(relays: usize, asked_for: bool) -> Calls {
+    pub fn of(relays: usize, asked_for: bool) -> PollCost {
         if asked_for && relays >= CROWD {
-            Calls::Dear
+            PollCost::Costly
         } else {
-            Calls::Free
+            PollCost::Free
         }
     }
 
     /// How long discovery is asked to wait for a change.
     pub fn watch(self) -> Duration {
         match self {
-            Calls::Free => FREE_WATCH,
-            Calls::Dear => DEAR_WATCH,
+            PollCost::Free => FREE_WATCH,
+            PollCost::Costly => DEAR_WATCH,
         }
     }
 
     /// How long an answer is waited for, beyond the wait that discovery was asked for.
     pub fn patience(self) -> Duration {
         match self {
-            Calls::Free => FREE_PATIENCE,
-            Calls::Dear => DEAR_PATIENCE,
+            PollCost::Free => FREE_PATIENCE,
+            PollCost::Costly => DEAR_PATIENCE,
         }
     }
 
     /// How long a process that starts waits with its first call, as many may start at once; `random` in 0 to 1.
     pub fn spread(self, random: f64) -> Duration {
         match self {
-            Calls::Free => Duration::ZERO,
-            Calls::Dear => Duration::from_millis(DEAR_SPREAD_MS).mul_f64(random.clamp(0.0, 1.0)),
+            PollCost::Free => Duration::ZERO,
+            PollCost::Costly => Duration::from_millis(DEAR_SPREAD_MS).mul_f64(random.clamp(0.0, 1.0)),
         }
     }
 
@@ -75,8 +75,8 @@
     pub fn pause(self, failures: u32, too_large: bool, random: f64) -> Duration {
         let (first, most) = match self {
             _ if too_large => TOO_LARGE_MS,
-            Calls::Free => FREE_RETRY_MS,
-            Calls::Dear => DEAR_RETRY_MS,
+            PollCost::Free => FREE_RETRY_MS,
+            PollCost::Costly => DEAR_RETRY_MS,
         };
         let most = (first << failures.min(MOST_DOUBLINGS)).min(most) as f64;
         Duration::from_secs_f64(most * (1.0 + random.clamp(0.0, 1.0)) / 2000.0)
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -15,7 +15,7 @@
 
 /// A message that was taken on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Taken {
+pub struct AcceptedMessage {
     pub call_id: String,
     pub class: String,
     pub tenant: String,
@@ -30,31 +30,31 @@
 
 /// How a message ends that was not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum GivenUp {
     Undeliverable,
-    Deferred { again_ms: Option<f64> },
+    Deferred { retry_after_ms: Option<f64> },
 }
 
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 enum Record {
-    Taken(u64, Taken),
+    Taken(u64, AcceptedMessage),
     /// An attempt is about to be written: number, wall time, endpoint.
     Begun(u64, u32, f64, String),
     /// An attempt has an outcome: number, whether it may have run, whether it may run yet.
     Outcome(u64, u32, bool, bool),
-    Verdict(u64, Verdict),
+    Verdict(u64, GivenUp),
     Ended(u64),
     /// The outages that the module knows of; it takes the place of any earlier one.
-    Outages(Vec<KeptOutage>),
+    Outages(Vec<OutageRecord>),
     /// Hosts that were told to be leaving or gone; it takes the place of any earlier one.
-    Departed(Vec<KeptDeparture>),
+    Departed(Vec<TombstoneRecord>),
 }
 
 /// Destination, endpoint, wall time of its return if it is back, deliveries a second before.
-pub type KeptOutage = (u64, String, Option<f64>, f64);
+pub type OutageRecord = (u64, String, Option<f64>, f64);
 
 /// Name, when the host had last started, who told, in which version of its list.
-pub type KeptDeparture = (String, f64, String, u64);
+pub type TombstoneRecord = (String, f64, String, u64);
 
 /// The place of [`Record::Outages`] among what is live; messages are numbered from 1.
 const OUTAGES: u64 = 0;
@@ -73,11 +73,11 @@
 
 /// A message that is still owed its end.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kept {
+pub struct RecoveredMessage {
     pub id: u64,
-    pub taken: Taken,
+    pub message: AcceptedMessage,
     pub attempts: Vec<Attempt>,
-    pub verdict: Option<Verdict>,
+    pub given_up: Option<GivenUp>,
 }
 
 /// The folder's journal, open.
@@ -99,10 +99,10 @@
 
 /// What an earlier process left.
 #[derive(Default)]
-pub struct Left {
-    pub kept: Vec<Kept>,
-    pub outages: Vec<KeptOutage>,
-    pub departed: Vec<KeptDeparture>,
+pub struct RecoveredState {
+    pub messages: Vec<RecoveredMessage>,
+    pub outages: Vec<OutageRecord>,
+    pub tombstones: Vec<TombstoneRecord>,
     pub notes: Vec<String>,
 }
 
@@ -162,7 +162,7 @@
     /// # Errors
     /// What reading and writing give; `WouldBlock` if another process has the folder open, before anything in it is
     /// touched.
-    pub fn open(folder: PathBuf, most: u64) -> io::Result<(Journal, Left)> {
+    pub fn open(folder: PathBuf, most: u64) -> io::Result<(Journal, RecoveredState)> {
         let path = folder.join("journal");
         // The folder itself is locked, as its files are replaced. The lock goes with the process.
         let lock = File::open(&folder)?;
@@ -176,7 +176,7 @@
             Err(e) if e.kind() == io::ErrorKind::NotFound => Vec::new(),
             other => other?,
         };
-        let mut left = Left::default();
+        let mut left = RecoveredState::default();
         let records = read_records(&bytes, &mut left.notes);
         let file = OpenOptions::new().create(true).append(true).open(&path)?;
         // Each file counts in whole 512 bytes, and there are two while one replaces the other.
@@ -222,14 +222,17 @@
         self.compact()
     }
 
-    fn replay(&mut self, records: Vec<Record>, left: &mut Left) -> io::Result<()> {
-        let mut kept: BTreeMap<u64, Kept> = BTreeMap::new();
+    fn replay(&mut self, records: Vec<Record>, left: &mut RecoveredState) -> io::Result<()> {
+        let mut kept: BTreeMap<u64, RecoveredMessage> = BTreeMap::new();
         for record in records {
             let bytes = frame(&record)?;
             match record {
                 Record::Taken(id, taken) => {
                     self.remember(id, &bytes);
-                    kept.insert(id, Kept { id, taken, attempts: Vec::new(), verdict: None });
+                    kept.insert(
+                        id,
+                        RecoveredMessage { id, message: taken, attempts: Vec::new(), given_up: None },
+                    );
                 }
                 Record::Ended(id) => {
                     self.forget(id);
@@ -243,7 +246,7 @@
                 Record::Departed(departed) => {
                     self.forget(DEPARTED);
                     self.remember(DEPARTED, &bytes);
-                    left.departed = departed;
+                    left.tombstones = departed;
                 }
                 Record::Begun(id, number, at, endpoint) => {
                     let Some(k) = kept.get_mut(&id) else { continue };
@@ -260,12 +263,12 @@
                 }
                 Record::Verdict(id, verdict) => {
                     let Some(k) = kept.get_mut(&id) else { continue };
-                    k.verdict = Some(verdict);
+                    k.given_up = Some(verdict);
                     self.remember(id, &bytes);
                 }
             }
         }
-        left.kept = kept.into_values().collect();
+        left.messages = kept.into_values().collect();
         Ok(())
     }
 
@@ -325,26 +328,26 @@
     }
 
     /// A message is taken on. On an error it is not, and must be refused.
-    pub fn taken(&mut self, id: u64, taken: Taken) -> io::Result<()> {
+    pub fn record_accepted(&mut self, id: u64, taken: AcceptedMessage) -> io::Result<()> {
         self.append(id, &Record::Taken(id, taken), self.reserve)
     }
 
     /// An attempt's bytes are about to go out. On an error they must not.
-    pub fn begun(&mut self, id: u64, attempt: u32, at: f64, endpoint: &str) -> io::Result<()> {
+    pub fn record_attempt(&mut self, id: u64, attempt: u32, at: f64, endpoint: &str) -> io::Result<()> {
         self.append(id, &Record::Begun(id, attempt, at, endpoint.into()), self.reserve / 2)
     }
 
-    pub fn outcome(
+    pub fn record_outcome(
         &mut self, id: u64, attempt: u32, may_have_run: bool, may_run_yet: bool,
     ) -> io::Result<()> {
         self.append(id, &Record::Outcome(id, attempt, may_have_run, may_run_yet), 0)
     }
 
-    pub fn verdict(&mut self, id: u64, verdict: Verdict) -> io::Result<()> {
+    pub fn record_given_up(&mut self, id: u64, verdict: GivenUp) -> io::Result<()> {
         self.append(id, &Record::Verdict(id, verdict), 0)
     }
 
-    pub fn outages(&mut self, outages: Vec<KeptOutage>) -> io::Result<()> {
+    pub fn record_outages(&mut self, outages: Vec<OutageRecord>) -> io::Result<()> {
         self.append(OUTAGES, &Record::Outages(outages), self.reserve / 2)
     }
 
@@ -352,11 +355,11 @@
     ///
     /// # Errors
     /// What writing gives; `StorageFull` where the folder has no room.
-    pub fn departed(&mut self, departed: Vec<KeptDeparture>) -> io::Result<()> {
+    pub fn record_tombstones(&mut self, departed: Vec<TombstoneRecord>) -> io::Result<()> {
         self.append(DEPARTED, &Record::Departed(departed), 0)
     }
 
-    pub fn ended(&mut self, id: u64) -> io::Result<()> {
+    pub fn record_ended(&mut self, id: u64) -> io::Result<()> {
         self.append(id, &Record::Ended(id), 0)
     }
 }
--- a/crates/linenhall/src/fleet.rs
+++ b/crates/linenhall/src/fleet.rs
@@ -1,10 +1,10 @@
 //! The destinations, their endpoints and what shares one limit and one health, as tables and lists. Kept here
 //! and decided on in `logic`.
 
-use crate::index::group::Group;
-use crate::index::lane_calls::LaneCalls;
+use crate::index::group_calls::GroupCalls;
+use crate::index::sub_queue::SubQueue;
 use crate::index::table::Table;
-use crate::interface::{Endpoint, Listed, Outage};
+use crate::interface::{Endpoint, EndpointStatus, Outage};
 use crate::meter::Meter;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -14,16 +14,16 @@
 
 /// Health of a lane.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Phase {
+pub enum BreakerState {
     #[default]
-    Well,
+    Closed,
     /// Only single trial calls go out.
-    Out,
+    Open,
     /// Back since then, and perhaps still cold.
-    Ramp(f64),
+    SlowStart(f64),
 }
 
-pub type LaneId = (u64, Name);
+pub type EndpointGroupId = (u64, Name);
 
 /// What went out on a lane of late: when, and how much had gone before it in all.
 #[derive(Clone, Debug, Default)]
@@ -58,7 +58,7 @@
 
 /// What shares a limit and a health.
 #[derive(Clone, Debug, Default)]
-pub struct Lane {
+pub struct EndpointGroup {
     pub wait_until: f64,
     pub told: Option<f64>,
     /// The share of the limit that was left when last told.
@@ -77,7 +77,7 @@
     pub filled: f64,
     pub cut_at: f64,
     pub latency: Option<(f64, f64)>,
-    pub phase: Phase,
+    pub phase: BreakerState,
     pub trial_at: f64,
     pub backoff: f64,
     pub trial_out: bool,
@@ -98,14 +98,15 @@
     pub soon: Meter,
     pub usual: Meter,
     /// Calls out.
-    pub calls: LaneCalls,
+    pub calls: GroupCalls,
 }
 
-impl Lane {
+impl EndpointGroup {
     /// Whether nothing that is known of it, but the bucket, binds a call at `now` or later.
     pub fn binds_nothing(&self, now: f64) -> bool {
         let times = [self.wait_until, self.quiet_until, self.emptied_until];
-        let healthy = self.phase == Phase::Well && !self.trial_out && !self.failing && !self.unproved;
+        let healthy =
+            self.phase == BreakerState::Closed && !self.trial_out && !self.failing && !self.unproved;
         healthy
             && (self.fails, self.fulls) == (0, 0)
             && times.iter().all(|t| *t <= now)
@@ -125,10 +126,10 @@
 #[derive(Clone, Debug)]
 pub struct Host {
     pub dest: u64,
-    pub lane: LaneId,
+    pub group: EndpointGroupId,
     pub zone: u32,
     pub kind: usize,
-    pub listed: Listed,
+    pub status: EndpointStatus,
     pub out: usize,
     pub fails: u32,
     pub shun_until: f64,
@@ -139,13 +140,13 @@
 }
 
 impl Host {
-    pub fn new(lane: LaneId) -> Host {
+    pub fn new(group: EndpointGroupId) -> Host {
         Host {
-            dest: lane.0,
-            lane,
+            dest: group.0,
+            group,
             zone: 0,
             kind: 0,
-            listed: Listed::Active,
+            status: EndpointStatus::Active,
             out: 0,
             fails: 0,
             shun_until: 0.0,
@@ -167,7 +168,7 @@
 
 /// What the held messages of one destination have in common, so that their time alone ranks them.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct GroupId {
+pub struct SubQueueKey {
     pub class: usize,
     pub tenant: usize,
     /// Of keyed messages that may have run: where first.
@@ -178,10 +179,10 @@
 
 /// A destination: its endpoints and lanes, and what is held for it.
 #[derive(Clone, Debug)]
-pub struct Dest {
+pub struct Destination {
     pub hosts: BTreeSet<Name>,
-    pub lanes: BTreeSet<Name>,
-    pub groups: BTreeMap<GroupId, Group>,
+    pub groups: BTreeSet<Name>,
+    pub sub_queues: BTreeMap<SubQueueKey, SubQueue>,
     /// Held messages, those that may not go yet too.
     pub held: usize,
     /// Its credit, see [`crate::index::credits`].
@@ -199,7 +200,7 @@
 /// A delivery's weight in the mean slot time.
 const SPENT_GAIN: f64 = 1.0 / 8.0;
 
-impl Dest {
+impl Destination {
     /// A call is over that had a slot for so long. What calls took that delivered nothing is part of the price of
     /// the next delivery.
     pub fn spend(&mut self, took_ms: f64, delivered: bool) {
@@ -229,12 +230,12 @@
     }
 }
 
-impl Default for Dest {
-    fn default() -> Dest {
-        Dest {
+impl Default for Destination {
+    fn default() -> Destination {
+        Destination {
             hosts: BTreeSet::new(),
-            lanes: BTreeSet::new(),
-            groups: BTreeMap::new(),
+            groups: BTreeSet::new(),
+            sub_queues: BTreeMap::new(),
             held: 0,
             base: 0,
             next: 0,
@@ -249,23 +250,28 @@
 /// Lanes that are out or ramping, and how often that has changed.
 #[derive(Clone, Debug, Default)]
 pub struct Unwell {
-    lanes: BTreeMap<LaneId, (Phase, f64)>,
+    groups: BTreeMap<EndpointGroupId, (BreakerState, f64)>,
     version: u64,
 }
 
 impl Unwell {
     /// As an earlier process would tell a later one.
     pub fn list(&self) -> Vec<Outage> {
-        let known = self.lanes.iter().map(|((destination, endpoint), (phase, before))| {
-            let back = if let Phase::Ramp(since) = phase { Some(*since) } else { None };
-            Outage { destination: *destination, endpoint: endpoint.to_string(), back, before: *before }
+        let known = self.groups.iter().map(|((destination, endpoint), (phase, before))| {
+            let back = if let BreakerState::SlowStart(since) = phase { Some(*since) } else { None };
+            Outage {
+                destination: *destination,
+                endpoint: endpoint.to_string(),
+                recovered_at: back,
+                rate_before: *before,
+            }
         });
         known.collect()
     }
 
     /// Whether a lane is among them.
-    pub fn has(&self, id: &LaneId) -> bool {
-        self.lanes.contains_key(id)
+    pub fn has(&self, id: &EndpointGroupId) -> bool {
+        self.groups.contains_key(id)
     }
 
     /// Grows with every change.
@@ -277,9 +283,9 @@
 /// All of them.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    pub dests: Table<u64, Dest>,
+    pub dests: Table<u64, Destination>,
     pub hosts: Table<Name, Host>,
-    pub lanes: Table<LaneId, Lane>,
+    pub groups: Table<EndpointGroupId, EndpointGroup>,
     pub unwell: Unwell,
     /// Gone from the list with a call out: to be taken out with a later list. Bounded by the slots.
     gone: BTreeSet<Name>,
@@ -292,19 +298,19 @@
     /// Endpoints in the list, and those of them that are avoided: they drain, are shunned for a while, or their
     /// lane is out or was told to wait.
     pub fn counts(&self, now: f64) -> (usize, usize) {
-        let listed = || self.hosts.walk().map(|x| x.1).filter(|h| h.listed != Listed::Gone);
+        let listed = || self.hosts.walk().map(|x| x.1).filter(|h| h.status != EndpointStatus::Removed);
         let avoided = |h: &&Host| {
-            let lane = self.lanes.get(&h.lane);
-            h.listed == Listed::Leaving
+            let group = self.groups.get(&h.group);
+            h.status == EndpointStatus::Draining
                 || h.shun_until > now
-                || lane.is_some_and(|l| l.phase == Phase::Out || l.wait_until > now)
+                || group.is_some_and(|l| l.phase == BreakerState::Open || l.wait_until > now)
         };
         (listed().count(), listed().filter(avoided).count())
     }
 
     /// Endpoints and lanes that are remembered, listed or not.
     pub fn sizes(&self) -> [usize; 2] {
-        [self.hosts.len(), self.lanes.len()]
+        [self.hosts.len(), self.groups.len()]
     }
 
     /// The endpoints of a destination, by name.
@@ -314,26 +320,28 @@
     }
 
     /// The lanes of a destination, by name.
-    pub fn lanes_of(&self, dest: u64) -> impl Iterator<Item = (LaneId, &Lane)> {
-        let names = self.dests.get(&dest).into_iter().flat_map(|d| &d.lanes);
+    pub fn groups_of(&self, dest: u64) -> impl Iterator<Item = (EndpointGroupId, &EndpointGroup)> {
+        let names = self.dests.get(&dest).into_iter().flat_map(|d| &d.groups);
         names.filter_map(move |name| {
             let id = (dest, name.clone());
-            self.lanes.get(&id).map(|l| (id, l))
+            self.groups.get(&id).map(|l| (id, l))
         })
     }
 
     /// A lane, made where it is new.
-    pub fn lane(&mut self, id: &LaneId, make: impl FnOnce() -> Lane) -> &mut Lane {
-        self.dests.or_insert_with(id.0, Dest::default).lanes.insert(id.1.clone());
-        self.lanes.or_insert_with(id.clone(), make)
+    pub fn group(
+        &mut self, id: &EndpointGroupId, make: impl FnOnce() -> EndpointGroup,
+    ) -> &mut EndpointGroup {
+        self.dests.or_insert_with(id.0, Destination::default).groups.insert(id.1.clone());
+        self.groups.or_insert_with(id.clone(), make)
     }
 
     /// Takes out a destination's hosts, whose names it gives, and its lanes.
     pub fn forget(&mut self, dest: u64) -> Vec<Name> {
         let Some(d) = self.dests.get_mut(&dest) else { return Vec::new() };
-        let (hosts, lanes) = (std::mem::take(&mut d.hosts), std::mem::take(&mut d.lanes));
-        for name in lanes {
-            self.lanes.remove(&(dest, name));
+        let (hosts, groups) = (std::mem::take(&mut d.hosts), std::mem::take(&mut d.groups));
+        for name in groups {
+            self.groups.remove(&(dest, name));
         }
         for name in &hosts {
             self.hosts.remove(name);
@@ -343,30 +351,31 @@
     }
 
     /// Notes whether a lane is well.
-    pub fn note_phase(&mut self, id: LaneId) {
-        let known = self.lanes.get(&id).filter(|l| l.phase != Phase::Well).map(|l| (l.phase, l.before));
+    pub fn note_phase(&mut self, id: EndpointGroupId) {
+        let known =
+            self.groups.get(&id).filter(|l| l.phase != BreakerState::Closed).map(|l| (l.phase, l.before));
         let before = match known {
-            Some(known) => self.unwell.lanes.insert(id, known),
-            None => self.unwell.lanes.remove(&id),
+            Some(known) => self.unwell.groups.insert(id, known),
+            None => self.unwell.groups.remove(&id),
         };
         self.unwell.version += u64::from(before != known);
     }
 
     /// Takes over what a list says; what a whole list does not name is gone. `touch` hears of what changed.
     pub fn list(
-        &mut self, list: &[Endpoint], whole: bool, weights: bool, apart: &[bool],
-        make: &mut dyn FnMut() -> Lane, touch: &mut dyn FnMut(&LaneId),
+        &mut self, list: &[Endpoint], whole: bool, weights: bool, own_limits: &[bool],
+        make: &mut dyn FnMut() -> EndpointGroup, touch: &mut dyn FnMut(&EndpointGroupId),
     ) {
         self.lists += 1;
         for e in list {
             let told = Some(e.weight).filter(|w| weights && w.is_finite() && *w > 0.0);
-            self.listed(e, told, apart, make, touch);
+            self.listed(e, told, own_limits, make, touch);
         }
         if whole {
             let lists = self.lists;
             for (_, h) in self.hosts.walk_mut().filter(|x| x.1.named != lists) {
-                if std::mem::replace(&mut h.listed, Listed::Gone) != Listed::Gone {
-                    touch(&h.lane);
+                if std::mem::replace(&mut h.status, EndpointStatus::Removed) != EndpointStatus::Removed {
+                    touch(&h.group);
                 }
             }
         }
@@ -374,32 +383,32 @@
 
     /// What the list says of one endpoint. Where that is nothing new it costs a look-up.
     fn listed(
-        &mut self, e: &Endpoint, told: Option<f64>, apart: &[bool], make: &mut dyn FnMut() -> Lane,
-        touch: &mut dyn FnMut(&LaneId),
+        &mut self, e: &Endpoint, told: Option<f64>, own_limits: &[bool],
+        make: &mut dyn FnMut() -> EndpointGroup, touch: &mut dyn FnMut(&EndpointGroupId),
     ) {
-        let now = (e.destination, e.zone, e.kind, e.listed);
-        let known = self.hosts.get_mut(e.name.as_str()).filter(|h| (h.dest, h.zone, h.kind, h.listed) == now);
+        let now = (e.destination, e.zone, e.kind, e.status);
+        let known = self.hosts.get_mut(e.name.as_str()).filter(|h| (h.dest, h.zone, h.kind, h.status) == now);
         if let Some(h) = known {
             h.named = self.lists;
-            if self.lanes.get(&h.lane).is_some_and(|l| told.is_none() || l.told == told) {
+            if self.groups.get(&h.group).is_some_and(|l| told.is_none() || l.told == told) {
                 return;
             }
         }
         let name = Name::from(e.name.as_str());
-        let own = apart.get(e.kind).copied().unwrap_or(false);
-        let lane = if own { name.clone() } else { self.whole.get_or_insert_with(|| "".into()).clone() };
-        let id = (e.destination, lane);
+        let own = own_limits.get(e.kind).copied().unwrap_or(false);
+        let group = if own { name.clone() } else { self.whole.get_or_insert_with(|| "".into()).clone() };
+        let id = (e.destination, group);
         let h = self.hosts.or_insert_with(name.clone(), || Host::new(id.clone()));
-        let before = std::mem::replace(&mut h.lane, id.clone());
-        (h.dest, h.zone, h.kind, h.listed, h.named) = (e.destination, e.zone, e.kind, e.listed, self.lists);
+        let before = std::mem::replace(&mut h.group, id.clone());
+        (h.dest, h.zone, h.kind, h.status, h.named) = (e.destination, e.zone, e.kind, e.status, self.lists);
         if before != id {
             if let Some(d) = self.dests.get_mut(&before.0) {
                 d.hosts.remove(&name);
             }
             touch(&before);
         }
-        self.dests.or_insert_with(e.destination, Dest::default).hosts.insert(name);
-        let l = self.lane(&id, make);
+        self.dests.or_insert_with(e.destination, Destination::default).hosts.insert(name);
+        let l = self.group(&id, make);
         l.told = told.or(l.told);
         touch(&id);
     }
@@ -407,33 +416,37 @@
     /// Takes out what is gone and has no call out any more, with lanes of its own that may go: of a whole list
     /// all that it does not name, else what it names as gone.
     pub fn sweep(
-        &mut self, list: &[Endpoint], whole: bool, touch: &mut dyn FnMut(&LaneId),
-        may_go: impl Fn(&Lane) -> bool,
+        &mut self, list: &[Endpoint], whole: bool, touch: &mut dyn FnMut(&EndpointGroupId),
+        may_go: impl Fn(&EndpointGroup) -> bool,
     ) {
         let lists = self.lists;
         let missing = whole.then(|| self.hosts.walk().filter(|x| x.1.named != lists).map(|x| x.0.clone()));
         let mut gone: Vec<Name> = missing.into_iter().flatten().collect();
         gone.sort_unstable();
-        gone.extend(list.iter().filter(|e| e.listed == Listed::Gone).map(|e| Name::from(e.name.as_str())));
+        gone.extend(
+            list.iter().filter(|e| e.status == EndpointStatus::Removed).map(|e| Name::from(e.name.as_str())),
+        );
         gone.extend(std::mem::take(&mut self.gone));
         for name in &gone {
-            let Some(h) = self.hosts.get(name).filter(|h| h.listed == Listed::Gone) else { continue };
+            let Some(h) = self.hosts.get(name).filter(|h| h.status == EndpointStatus::Removed) else {
+                continue;
+            };
             if h.out > 0 {
                 self.gone.insert(name.clone());
                 continue;
             }
-            let id = h.lane.clone();
+            let id = h.group.clone();
             self.hosts.remove(name);
             touch(&id);
-            let own = !id.1.is_empty() && self.lanes.get(&id).is_some_and(&may_go);
+            let own = !id.1.is_empty() && self.groups.get(&id).is_some_and(&may_go);
             if let Some(d) = self.dests.get_mut(&id.0) {
                 d.hosts.remove(name);
                 if own {
-                    d.lanes.remove(&id.1);
+                    d.groups.remove(&id.1);
                 }
             }
             if own {
-                self.lanes.remove(&id);
+                self.groups.remove(&id);
             }
         }
     }
--- a/crates/linenhall/src/handover.rs
+++ b/crates/linenhall/src/handover.rs
@@ -1,7 +1,7 @@
 //! Tells what a relay has learnt, and takes up what an earlier process told. Nothing here decides.
 
-use crate::fleet::{Lane, LaneId, Name, Phase};
-use crate::learnt::{Learnt, LearntDest, LearntHost, LearntLane, Rate};
+use crate::fleet::{BreakerState, EndpointGroup, EndpointGroupId, Name};
+use crate::learnt::{Learnt, LearntDestination, LearntGroup, LearntHost, Rate};
 use crate::logic::Relay;
 use crate::meter::Meter;
 use crate::state::sane;
@@ -24,13 +24,13 @@
     (sane(x.0, 0.0, LONGEST), sane(x.1, 0.0, LONGEST))
 }
 
-fn tell_lane(id: &LaneId, l: &Lane, now: f64) -> LearntLane {
+fn tell_group(id: &EndpointGroupId, l: &EndpointGroup, now: f64) -> LearntGroup {
     let mut sends = l.sent.list(now);
     if sends.len() > MOST_SENDS {
         let older: f64 = sends.drain(..sends.len() - MOST_SENDS).map(|s| s.1).sum();
         sends.iter_mut().take(1).for_each(|s| s.1 += older);
     }
-    LearntLane {
+    LearntGroup {
         destination: id.0,
         endpoint: id.1.to_string(),
         latency: l.latency,
@@ -51,7 +51,7 @@
     }
 }
 
-fn take_up_lane(l: &mut Lane, told: &LearntLane, now: f64) {
+fn take_up_group(l: &mut EndpointGroup, told: &LearntGroup, now: f64) {
     l.latency = told.latency.map(pair);
     l.told = told.told.map(|x| sane(x, 0.0, MOST)).filter(|x| *x > 0.0).or(l.told);
     l.pace = told.pace.map(|x| sane(x, LEAST_PACE, MOST));
@@ -62,7 +62,7 @@
         l.sent.add(now - sane(*ago, 0.0, LONGEST), sane(*weight, 0.0, 1e3), f64::NEG_INFINITY);
     }
     (l.fails, l.share, l.failing) = (told.fails, sane(told.share, 0.0, 1.0), told.failing);
-    if l.phase == Phase::Out {
+    if l.phase == BreakerState::Open {
         l.answers = told.answers;
         l.trial_at = now + sane(told.trial_in, 0.0, TRIAL_IN);
         l.backoff = sane(told.backoff, l.backoff, TRIAL_IN);
@@ -73,8 +73,8 @@
 impl Relay {
     /// What a process that goes on for this one should know, beside outages and waits.
     pub fn learnt(&self, now: f64) -> Learnt {
-        let mut lanes: Vec<_> = self.f.lanes.walk().map(|(id, l)| tell_lane(id, l, now)).collect();
-        lanes.sort_by(|a, b| (a.destination, &a.endpoint).cmp(&(b.destination, &b.endpoint)));
+        let mut groups: Vec<_> = self.f.groups.walk().map(|(id, l)| tell_group(id, l, now)).collect();
+        groups.sort_by(|a, b| (a.destination, &a.endpoint).cmp(&(b.destination, &b.endpoint)));
         let hosts = self.f.hosts.walk().filter(|x| x.1.fails > 0 || x.1.shun_until > now);
         let hosts = hosts.map(|(name, h)| LearntHost {
             endpoint: name.to_string(),
@@ -83,34 +83,35 @@
         });
         let mut hosts: Vec<_> = hosts.collect();
         hosts.sort_by(|a, b| a.endpoint.cmp(&b.endpoint));
-        let dests = self.f.dests.walk().map(|(id, d)| LearntDest { destination: *id, spent: d.spent() });
+        let dests =
+            self.f.dests.walk().map(|(id, d)| LearntDestination { destination: *id, spent: d.spent() });
         let mut dests: Vec<_> = dests.filter(|d| d.spent.0 > 0.0).collect();
         dests.sort_by_key(|d| d.destination);
         let (tenants, all) = (self.tenants.iter().map(|t| t.tell(now)).collect(), Some(self.all.tell(now)));
-        Learnt { lanes, hosts, dests, tenants, all }
+        Learnt { lanes: groups, hosts, dests, tenants, all }
     }
 
     /// Goes on with what an earlier process has learnt. Gives the lanes that changed.
-    pub(crate) fn take_up(&mut self, told: &Learnt) -> Vec<LaneId> {
+    pub(crate) fn take_up(&mut self, told: &Learnt) -> Vec<EndpointGroupId> {
         let (now, mut changed) = (self.now, Vec::new());
         for row in &told.lanes {
             let id = (row.destination, Name::from(row.endpoint.as_str()));
             // A lane without endpoints has nothing to be known of.
-            if let Some(l) = self.f.lanes.get_mut(&id) {
-                take_up_lane(l, row, now);
+            if let Some(l) = self.f.groups.get_mut(&id) {
+                take_up_group(l, row, now);
                 changed.push(id);
             }
         }
         for row in &told.hosts {
             if let Some(h) = self.f.hosts.get_mut(row.endpoint.as_str()) {
                 (h.fails, h.shun_until) = (row.fails, now + sane(row.shun_in, 0.0, TRIAL_IN));
-                changed.push(h.lane.clone());
+                changed.push(h.group.clone());
             }
         }
         for row in &told.dests {
             if let Some(d) = self.f.dests.get_mut(&row.destination) {
                 d.take_up(pair(row.spent));
-                changed.extend(d.lanes.iter().map(|lane| (row.destination, lane.clone())));
+                changed.extend(d.groups.iter().map(|group| (row.destination, group.clone())));
             }
         }
         let meters = self.tenants.iter_mut().zip(&told.tenants);
--- a/crates/linenhall/src/index/lane_calls.rs
+++ b/crates/linenhall/src/index/group_calls.rs
@@ -19,9 +19,9 @@
 
 /// The calls out, by kind, each kind by the time of sending.
 #[derive(Clone, Debug, Default)]
-pub struct LaneCalls(BTreeMap<Kind, BTreeSet<(At, u64)>>);
+pub struct GroupCalls(BTreeMap<Kind, BTreeSet<(At, u64)>>);
 
-impl LaneCalls {
+impl GroupCalls {
     /// A call went out.
     pub fn put(&mut self, kind: Kind, sent: f64, call: u64) {
         self.0.entry(kind).or_default().insert((At::new(sent), call));
@@ -63,7 +63,7 @@
     #[test]
     fn the_oldest_and_the_young_of_each_kind() {
         let kind = |host: &str| Kind { host: host.into(), aim: At::new(9.0), trial: false, fragile: false };
-        let mut calls = LaneCalls::default();
+        let mut calls = GroupCalls::default();
         [(1.0, 1), (2.0, 2), (2.0, 3), (4.0, 4)].into_iter().for_each(|(t, id)| calls.put(kind("a"), t, id));
         calls.put(kind("b"), 3.0, 5);
         let ids = |it: &mut dyn Iterator<Item = (&Kind, f64, u64)>| it.map(|x| x.2).collect::<Vec<_>>();
--- a/crates/linenhall/src/index/mod.rs
+++ b/crates/linenhall/src/index/mod.rs
@@ -6,8 +6,8 @@
 
 pub mod agenda;
 pub mod credits;
-pub mod group;
-pub mod lane_calls;
+pub mod group_calls;
+pub mod sub_queue;
 pub mod table;
 
 use std::cell::Cell;
--- a/crates/linenhall/src/interface.rs
+++ b/crates/linenhall/src/interface.rs
@@ -14,7 +14,7 @@
 
 /// Which endpoints of a destination remember the key of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// Any endpoint of the destination.
     All,
     /// Only endpoints of the same zone.
@@ -25,12 +25,12 @@
 
 /// How worth falls after the aim.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Fade {
+pub enum ValueDecay {
     /// Evenly, down to the late value at the deadline.
     #[default]
-    Even,
+    Linear,
     /// By half with each further aim, not under the late value.
-    Halves,
+    Halving,
 }
 
 /// What the weight of an endpoint in the list means.
@@ -38,7 +38,7 @@
 pub enum WeightMeaning {
     /// Nothing: it is always 1.
     #[default]
-    Nothing,
+    Ignored,
     /// Calls a second that the destination takes from all relays.
     Rate,
     /// The same, but not exact.
@@ -55,13 +55,13 @@
     /// What a repeat may do.
     pub effect: Effect,
     /// Which endpoints drop a repeat.
-    pub group: Group,
+    pub dedup_scope: DedupScope,
     /// For how long a repeat is dropped after the first send that may have run.
-    pub window_ms: f64,
+    pub dedup_window_ms: f64,
     /// Worth of one request.
-    pub worth: f64,
+    pub value: f64,
     /// The share of the worth that is left at the deadline.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// Requests with the same key go one at a time, in order.
     pub in_order: bool,
 }
@@ -84,13 +84,13 @@
     /// Requests a second within each tenant's share, over all relays, by tenant index.
     pub tenant_rates: Vec<f64>,
     /// The worth of a request beyond its tenant's share, as a part of the worth of its class.
-    pub over_share_worth: f64,
+    pub over_share_value: f64,
     /// How worth falls after the aim.
-    pub fade: Fade,
+    pub value_decay: ValueDecay,
     /// For each kind of destination: how many requests one call may carry.
     pub batch: Vec<usize>,
     /// For each kind of destination: whether its endpoints are routes apart.
-    pub apart: Vec<bool>,
+    pub own_limits: Vec<bool>,
     /// For each zone: the price of a request taken on by a route apart there.
     pub route_fee: Vec<f64>,
     /// The price of an attempt that crosses zones.
@@ -98,22 +98,22 @@
     /// The price of a new connection.
     pub handshake_cost: f64,
     /// What weights in the list mean.
-    pub weights: WeightMeaning,
+    pub weight_meaning: WeightMeaning,
     /// The column of load reports that holds the share of the limit left.
-    pub left_column: Option<usize>,
+    pub remaining_column: Option<usize>,
     /// The column of load reports that holds the limit in calls a second.
     pub limit_column: Option<usize>,
     /// The list comes only when asked for.
-    pub ask_discovery: bool,
+    pub poll_discovery: bool,
     /// Attempts may be cancelled.
     pub may_cancel: bool,
     /// Endpoints may be probed.
     pub may_probe: bool,
-    /// A refusal or failure takes time to reach its sender, and [`Event::Told`] says when it has: until then the request is
+    /// A refusal or failure takes time to reach its sender, and [`Event::AnswerConfirmed`] says when it has: until then the request is
     /// not over for others of its key.
-    pub ends_told: bool,
+    pub confirms_answers: bool,
     /// Two attempts of one request may be out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Clients are told when to come again.
     pub retry_after: bool,
     /// The longest wait that a client honours.
@@ -138,14 +138,14 @@
 
 /// State of an endpoint in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Listed {
+pub enum EndpointStatus {
     /// Listed; this says nothing of its health.
     #[default]
     Active,
     /// Drains: nothing new goes there.
-    Leaving,
+    Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// An endpoint in the list.
@@ -162,18 +162,18 @@
     /// Its weight, see [`WeightMeaning`].
     pub weight: f64,
     /// Its state.
-    pub listed: Listed,
+    pub status: EndpointStatus,
 }
 
 /// What the list says.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Discovery {
+pub enum ListUpdate {
     /// The whole list; what is missing is gone.
-    Whole(Vec<Endpoint>),
+    Full(Vec<Endpoint>),
     /// The list as it was last held, perhaps outdated.
     Cached(Vec<Endpoint>),
     /// Only what changed.
-    Changes(Vec<Endpoint>),
+    Delta(Vec<Endpoint>),
     /// A call failed or the watch broke off; the list held stays valid.
     Failed,
 }
@@ -186,9 +186,9 @@
     /// The endpoint, where the endpoints are routes apart; else empty.
     pub endpoint: String,
     /// When it came back, if it did.
-    pub back: Option<f64>,
+    pub recovered_at: Option<f64>,
     /// What this relay delivered there before, a second.
-    pub before: f64,
+    pub rate_before: f64,
 }
 
 /// How an attempt or a probe ended.
@@ -225,7 +225,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the list.
-    Discovery(Discovery),
+    ListUpdate(ListUpdate),
     /// A request was handed in.
     Request {
         /// Its id.
@@ -258,9 +258,9 @@
         /// Attempts made; the next one has this number.
         attempts: u32,
         /// The first send that may have run: when and where.
-        maybe: Option<(f64, String)>,
+        first_uncertain_send: Option<(f64, String)>,
         /// An attempt may be running yet.
-        uncertain: bool,
+        may_be_running: bool,
         /// A restart found it with no attempt begun: it goes first, as long as it has time. What is taken over from a process
         /// that lives has waited for its turn there, and goes on waiting.
         untried: bool,
@@ -276,28 +276,28 @@
         sent: f64,
     },
     /// A request that an earlier process of this relay had given up, and whose sender has not heard of it: nothing of its
-    /// key goes before [`Event::Told`].
-    Owed {
+    /// key goes before [`Event::AnswerConfirmed`].
+    AnswerPending {
         /// Its id.
         id: u64,
         /// Its key.
         key: String,
     },
     /// The next [`Event::Ended`] of this request settles it, but its sender has to be told as well: nothing of its key goes
-    /// before [`Event::Told`], where [`Settings::ends_told`] is set.
-    EndOwed {
+    /// before [`Event::AnswerConfirmed`], where [`Settings::confirms_answers`] is set.
+    AnswerExpected {
         /// Its id.
         id: u64,
     },
-    /// The sender of a request whose end was owed has heard it: where [`Settings::ends_told`] is set.
-    Told {
+    /// The sender of a request whose end was owed has heard it: where [`Settings::confirms_answers`] is set.
+    AnswerConfirmed {
         /// The request.
         id: u64,
     },
     /// Outages that an earlier process of this relay knew of.
     Outages(Vec<Outage>),
     /// Waits that an earlier process was told and that bind on: destination, endpoint as in [`Outage`], until when.
-    Waits(Vec<(u64, String, f64)>),
+    RetryAfters(Vec<(u64, String, f64)>),
     /// What an earlier process that still runs has learnt, or a part of it: after the list and the outages.
     Learnt(Box<crate::learnt::Learnt>),
     /// The process will end: nothing is to be begun that may be out at this time.
@@ -306,7 +306,7 @@
         at: f64,
     },
     /// The answer of a streamed attempt has begun.
-    Started {
+    ResponseStarted {
         /// The request.
         id: u64,
         /// The attempt, counted from 0.
@@ -351,7 +351,7 @@
         report: Vec<f64>,
     },
     /// A note from another relay.
-    Note {
+    PeerMessage {
         /// Its index.
         from: usize,
         /// The bytes.
@@ -410,7 +410,7 @@
         endpoint: String,
     },
     /// Send a note to a relay, or to all.
-    Tell {
+    SendToPeer {
         /// Index of the relay; `None`: all of them.
         to: Option<usize>,
         /// The bytes.
--- a/crates/linenhall/src/learnt.rs
+++ b/crates/linenhall/src/learnt.rs
@@ -17,7 +17,7 @@
 /// What is known of a lane: a destination, or an endpoint that is a route apart.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct LearntLane {
+pub struct LearntGroup {
     /// The destination.
     pub destination: u64,
     /// The endpoint, where endpoints are routes apart; else empty.
@@ -69,7 +69,7 @@
 /// What is known of a destination.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct LearntDest {
+pub struct LearntDestination {
     /// Its number.
     pub destination: u64,
     /// What a delivery takes of a slot, and what calls have taken since the last one.
@@ -81,11 +81,11 @@
 #[serde(default)]
 pub struct Learnt {
     /// By lane.
-    pub lanes: Vec<LearntLane>,
+    pub lanes: Vec<LearntGroup>,
     /// By endpoint.
     pub hosts: Vec<LearntHost>,
     /// By destination.
-    pub dests: Vec<LearntDest>,
+    pub dests: Vec<LearntDestination>,
     /// What tenants hand in, by index.
     pub tenants: Vec<Rate>,
     /// What all of them hand in.
--- a/crates/linenhall/src/lib.rs
+++ b/crates/linenhall/src/lib.rs
@@ -19,7 +19,7 @@
 
 pub use index::steps;
 pub use interface::*;
-pub use learnt::{Learnt, LearntDest, LearntHost, LearntLane, Rate};
+pub use learnt::{Learnt, LearntDestination, LearntGroup, LearntHost, Rate};
 pub use logic::Relay;
-pub use upkeep::Kept;
-pub use view::{Bound, LaneState};
+pub use upkeep::InUse;
+pub use view::{GroupHealth, WaitReason};
--- a/crates/linenhall/src/limits.rs
+++ b/crates/linenhall/src/limits.rs
@@ -1,7 +1,7 @@
 //! Limits and paces: the bucket of a lane, and the law by which each of many relays keeps to its part of a
 //! limit that all share. Rates in calls a second, times in milliseconds. What was compared: docs/fleet.md.
 
-use crate::fleet::Lane;
+use crate::fleet::EndpointGroup;
 
 /// What the bucket holds, at the pace: those of all relays fit a short queue.
 const BURST_MS: f64 = 300.0;
@@ -18,7 +18,7 @@
 /// Refusals within this time cut the pace once.
 pub(crate) const CUT_MS: f64 = 500.0;
 
-impl Lane {
+impl EndpointGroup {
     pub(crate) fn refill(&mut self, now: f64) {
         // With no pace set the bucket stays full: sends must not run up a debt that a later pace would pay.
         self.tokens = self.pace.map_or(1.0, |pace| {
--- a/crates/linenhall/src/logic.rs
+++ b/crates/linenhall/src/logic.rs
@@ -7,11 +7,13 @@
 //! No event walks over what is held, out or listed: what changes marks its lane and destination, these are
 //! looked at again before the round ends, and what time alone changes stands in an [`Agenda`].
 
-use crate::fleet::{Dest, Fleet, GroupId, Host, Lane, LaneId, Name, Phase};
+use crate::fleet::{
+    BreakerState, Destination, EndpointGroup, EndpointGroupId, Fleet, Host, Name, SubQueueKey,
+};
 use crate::index::agenda::Agenda;
 use crate::index::credits::{turns, Credits};
-use crate::index::group::Member;
-use crate::index::lane_calls::Kind;
+use crate::index::group_calls::Kind;
+use crate::index::sub_queue::QueuedMessage;
 use crate::index::table::Table;
 use crate::index::{spread, step, At};
 use crate::interface::*;
@@ -51,10 +53,17 @@
 const WAY: f64 = 0.05; // of a window, left for a repeat's way: a new connection's first request is slower
 const LEAST: (usize, usize) = (16, 4); // holds weighed anew when one must go: the least, the longest ago
 
-impl Lane {
+impl EndpointGroup {
     fn new(now: f64) -> Self {
         let (soon, usual) = (Meter::new(SOON_MS), Meter::new(LONG_MS));
-        Lane { tokens: 1.0, filled: now, backoff: TRIAL_MS.0, soon, usual, ..Lane::default() }
+        EndpointGroup {
+            tokens: 1.0,
+            filled: now,
+            backoff: TRIAL_MS.0,
+            soon,
+            usual,
+            ..EndpointGroup::default()
+        }
     }
     /// The time after which a call outruns this lane's measured latency.
     fn overrun(&self, aim: f64) -> f64 {
@@ -63,9 +72,9 @@
 }
 
 /// Time-outs: generous, as the work runs on; none for what could not be tried again.
-fn time_out(now: f64, l: &Lane, c: &Class, due: f64) -> Option<f64> {
+fn time_out(now: f64, l: &EndpointGroup, c: &Class, due: f64) -> Option<f64> {
     let base = l.overrun(c.aim_ms);
-    let trial = l.phase == Phase::Out;
+    let trial = l.phase == BreakerState::Open;
     let cap = if trial { base.max(c.aim_ms / 2.0) } else { (3.0 * base).max(c.aim_ms).min(2.0 * c.aim_ms) };
     let cap = cap * f64::from(1u32 << l.fails.min(2));
     (c.effect != Effect::Unsafe && now + cap < due).then_some(cap)
@@ -85,7 +94,7 @@
     pub(crate) calls: Table<u64, Call>,
     pub(crate) keys: Keys,
     /// Marked since they were last looked at.
-    pub(crate) touched: (BTreeSet<LaneId>, BTreeSet<u64>),
+    pub(crate) touched: (BTreeSet<EndpointGroupId>, BTreeSet<u64>),
     /// Destinations with something held, and the sum of their mean times.
     pub(crate) backlogged: (usize, u64),
     pub(crate) credits: Credits,
@@ -99,8 +108,8 @@
     pub(crate) ends: Agenda<At, u64>,
     pub(crate) resting: Agenda<At, u64>,
     pub(crate) wakes: Agenda<At, u64>,
-    pub(crate) late: Agenda<At, LaneId>,
-    pub(crate) overdue: Agenda<(At, u64), LaneId>,
+    pub(crate) late: Agenda<At, EndpointGroupId>,
+    pub(crate) overdue: Agenda<(At, u64), EndpointGroupId>,
     pub(crate) called_off: usize,
     /// What a destination's hold earns least by, and when that was reckoned; kept while half full.
     pub(crate) earns: Agenda<At, u64>,
@@ -117,7 +126,7 @@
     ask_at: f64,
     ask_wait: f64,
     armed: f64,
-    probes: BTreeMap<Name, LaneId>,
+    probes: BTreeMap<Name, EndpointGroupId>,
     /// The process ends then.
     stop_at: Option<f64>,
     /// By kind of destination: when a connection was last refused or broke.
@@ -151,7 +160,7 @@
 
     fn event(&mut self, event: &Event, out: &mut Vec<Action>) {
         match event {
-            Event::Discovery(news) => self.discovery(news, out),
+            Event::ListUpdate(news) => self.discovery(news, out),
             Event::Request { .. } => self.take(event, out),
             Event::Restored { .. } => self.restore(event, out),
             Event::Resumed { id, endpoint, sent } => {
@@ -160,41 +169,47 @@
                 self.send(*id, &Name::from(endpoint.as_str()), &mut Vec::new());
                 self.now = now;
             }
-            Event::Owed { .. } | Event::EndOwed { .. } | Event::Told { .. } => self.told(event),
+            Event::AnswerPending { .. } | Event::AnswerExpected { .. } | Event::AnswerConfirmed { .. } => {
+                self.told(event)
+            }
             Event::Outages(known) => known.iter().for_each(|o| self.recall(o)),
-            Event::Waits(known) => {
+            Event::RetryAfters(known) => {
                 for (dest, endpoint, until) in known {
                     let (now, id) = (self.now, (*dest, Name::from(endpoint.as_str())));
-                    self.touch_lane(&id);
-                    let l = self.f.lane(&id, || Lane::new(now));
+                    self.touch_group(&id);
+                    let l = self.f.group(&id, || EndpointGroup::new(now));
                     l.wait_until = l.wait_until.max(*until);
                 }
             }
-            Event::Learnt(told) => self.take_up(told).iter().for_each(|id| self.touch_lane(id)),
+            Event::Learnt(told) => self.take_up(told).iter().for_each(|id| self.touch_group(id)),
             Event::Stopping { at } => self.stop_at = Some(*at),
-            Event::Started { id, .. } => self.msgs.get_mut(id).into_iter().for_each(|m| m.started = true),
+            Event::ResponseStarted { id, .. } => {
+                self.msgs.get_mut(id).into_iter().for_each(|m| m.started = true)
+            }
             Event::Ended { .. } => self.ended(event, out),
             Event::Withdrawn { id } => self.close(*id, out),
             Event::Timer { .. } => self.armed = f64::MAX,
             Event::Probed { endpoint, outcome, report, .. } => self.probed(endpoint, *outcome, report, out),
-            Event::Note { .. } => {}
+            Event::PeerMessage { .. } => {}
         }
     }
 
     // ---- worth
 
     /// What is left of a request's worth if it is delivered at `at`, given [`Relay::in_share`].
-    fn worth(&self, c: &Class, m: &Member, at: f64, share: f64) -> f64 {
+    fn value(&self, c: &Class, m: &QueuedMessage, at: f64, share: f64) -> f64 {
         let late = at - m.born.get() - c.aim_ms;
         if at >= m.due.get() {
             return 0.0;
         }
-        let left = match self.s.fade {
+        let left = match self.s.value_decay {
             _ if late <= 0.0 => 1.0,
-            Fade::Halves => 0.5f64.powf(late / c.aim_ms).max(c.late_worth),
-            Fade::Even => 1.0 - (1.0 - c.late_worth) * (late / (c.deadline_ms - c.aim_ms).max(1.0)).min(1.0),
+            ValueDecay::Halving => 0.5f64.powf(late / c.aim_ms).max(c.late_value),
+            ValueDecay::Linear => {
+                1.0 - (1.0 - c.late_value) * (late / (c.deadline_ms - c.aim_ms).max(1.0)).min(1.0)
+            }
         };
-        left * c.worth * share
+        left * c.value * share
     }
 
     /// Expected worth of a tenant's request: which of its requests are beyond its share nobody tells, but
@@ -207,14 +222,14 @@
         let part =
             (self.all.rate(self.now) / self.tenants_total.max(1e-9)).clamp(1.0 / self.s.relays as f64, 1.0);
         let share = (part * rate / meter.rate(self.now).max(1e-9)).min(1.0);
-        share + (1.0 - share) * self.s.over_share_worth
+        share + (1.0 - share) * self.s.over_share_value
     }
 
     // ---- endpoints and lanes
 
     /// The lane's limit if told, as this relay's even part.
-    fn part(&self, lane: &Lane) -> Option<f64> {
-        lane.told.map(|t| t / self.s.relays as f64)
+    fn part(&self, group: &EndpointGroup) -> Option<f64> {
+        group.told.map(|t| t / self.s.relays as f64)
     }
 
     /// Whether a relay's own calls are few of all.
@@ -224,23 +239,23 @@
 
     /// What a lane that came back bears in one span of the rule, as this relay's part: a multiple of what it
     /// can do cold, growing as it warms, judged by what this relay usually delivered there before.
-    fn bears(&self, lane: &Lane, since: f64) -> f64 {
+    fn bears(&self, group: &EndpointGroup, since: f64) -> f64 {
         let s = &self.s;
         let warm = ((self.now - since) / s.warm_after_ms).clamp(0.0, 1.0);
         let able = s.cold_share + (1.0 - s.cold_share) * warm;
-        let usual = lane.usual.rate(self.now).max(lane.before).max(self.part(lane).unwrap_or(0.0));
+        let usual = group.usual.rate(self.now).max(group.before).max(self.part(group).unwrap_or(0.0));
         // What it delivers now it may get again: slowness is no outage. A multiple would prove itself.
-        (s.fall_multiple * able * usual).max(lane.soon.rate(self.now)) * s.fall_ms / 1000.0
+        (s.fall_multiple * able * usual).max(group.soon.rate(self.now)) * s.fall_ms / 1000.0
     }
 
     /// When the lane may take a call: now, or at a later time (`f64::MAX`: not before something happens).
-    pub(crate) fn gate(&self, id: &LaneId) -> f64 {
-        let Some(l) = self.f.lanes.get(id) else { return self.now };
+    pub(crate) fn gate(&self, id: &EndpointGroupId) -> f64 {
+        let Some(l) = self.f.groups.get(id) else { return self.now };
         let mut at = l.wait_until.max(l.quiet_until);
         match l.phase {
-            Phase::Out if l.trial_out => return f64::MAX,
-            Phase::Out => return at.max(l.trial_at),
-            Phase::Ramp(since) => {
+            BreakerState::Open if l.trial_out => return f64::MAX,
+            BreakerState::Open => return at.max(l.trial_at),
+            BreakerState::SlowStart(since) => {
                 // Less than one call in a span is one in a longer span: hundreds of relays return together.
                 let bears = self.bears(l, since);
                 let span = (self.s.fall_ms / bears.clamp(0.01, 1.0)).min(self.s.warm_after_ms);
@@ -249,7 +264,7 @@
                     at = at.max((oldest.unwrap_or(self.now) + span + 1.0).min(self.now + 250.0));
                 }
             }
-            Phase::Well => {}
+            BreakerState::Closed => {}
         }
         // One answer tells whether there is a limit; of many relays each more than one call would use it up.
         let unknown = self.s.limit_column.is_some() && l.told.is_none() && l.good_at == 0.0;
@@ -261,9 +276,10 @@
 
     /// Whether a destination is sick: a call outruns its latency, or its last outcome failed.
     pub(crate) fn sick(&self, dest: u64) -> bool {
-        let late =
-            |l: &Lane| l.calls.oldest().any(|(kind, sent, _)| self.now - sent > l.overrun(kind.aim.get()));
-        self.f.lanes_of(dest).any(|(_, l)| l.failing || l.phase == Phase::Out || late(l))
+        let late = |l: &EndpointGroup| {
+            l.calls.oldest().any(|(kind, sent, _)| self.now - sent > l.overrun(kind.aim.get()))
+        };
+        self.f.groups_of(dest).any(|(_, l)| l.failing || l.phase == BreakerState::Open || late(l))
     }
 
     /// The slot ceiling: under three quarters of the slots, half while sick.
@@ -273,15 +289,15 @@
     }
 
     /// A lane is out, or a trial of it failed; `answered` says after how long, if it answered at all.
-    fn shut(&mut self, id: &LaneId, why: &str, answered: Option<f64>, out: &mut Vec<Action>) {
+    fn shut(&mut self, id: &EndpointGroupId, why: &str, answered: Option<f64>, out: &mut Vec<Action>) {
         let (now, jitter) = (self.now, 0.75 + 0.5 * self.rng.f64());
-        let cold = self.f.lanes.get(id).map_or(0.0, |l| self.bears(l, now));
-        let Some(l) = self.f.lanes.get_mut(id) else { return };
-        if l.phase != Phase::Out {
+        let cold = self.f.groups.get(id).map_or(0.0, |l| self.bears(l, now));
+        let Some(l) = self.f.groups.get_mut(id) else { return };
+        if l.phase != BreakerState::Open {
             out.push(Action::Log(format!("destination {} out: {why}", id.0)));
             l.trial_out = false;
         }
-        l.before = if l.phase == Phase::Well { l.usual.rate(now) } else { l.before };
+        l.before = if l.phase == BreakerState::Closed { l.usual.rate(now) } else { l.before };
         // Trials use up the limit, or push over what returns: who calls seldom tries seldom.
         let (gap, crowd) = (1000.0 / l.before.max(1e-9), self.s.relays as f64);
         let least = gap.clamp(TRIAL_MS.0, (TRIAL_MS.0 * crowd).min(TRIAL_MS.2));
@@ -297,22 +313,22 @@
         l.trial_at = now + answered.map_or(wait * jitter, |took| (paced * jitter - took).max(0.0));
         l.backoff = answered.map_or(2.0 * wait, |_| l.backoff);
         l.answers = answered.is_some();
-        l.phase = Phase::Out;
+        l.phase = BreakerState::Open;
         (l.good, l.probe_good) = (0, false);
     }
 
     /// A trial call or probe succeeded: after that, the lane is taken to be back, and cold.
-    fn back(&mut self, id: &LaneId, out: &mut Vec<Action>) {
+    fn back(&mut self, id: &EndpointGroupId, out: &mut Vec<Action>) {
         let now = self.now;
         // Three at once from each of many relays are more than a ramp: they go as fast as it bears.
-        let bears = self.f.lanes.get(id).filter(|l| l.answers).map_or(f64::MAX, |l| self.bears(l, now));
-        let Some(l) = self.f.lanes.get_mut(id) else { return };
+        let bears = self.f.groups.get(id).filter(|l| l.answers).map_or(f64::MAX, |l| self.bears(l, now));
+        let Some(l) = self.f.groups.get_mut(id) else { return };
         l.good += 1;
         l.trial_at = now + (self.s.fall_ms / bears.max(1e-9)).min(self.s.warm_after_ms);
         // Where calls fail at random, one success proves little.
         let enough = if l.answers { GOODS.1 } else { GOODS.0 };
         if l.good >= if l.share > 0.5 { enough } else { 1 } {
-            l.phase = Phase::Ramp(now);
+            l.phase = BreakerState::SlowStart(now);
             (l.fails, l.share, l.fulls, l.pace, l.failing) = (0, 0.0, 0, None, false);
             out.push(Action::Log(format!("destination {} back, ramping", id.0)));
         }
@@ -320,12 +336,12 @@
 
     /// What the end of a call or probe says of its lane and endpoint.
     fn learn(&mut self, seen: &Seen, out: &mut Vec<Action>) {
-        let &Seen { lane: id, host, outcome: o, took, wait, trial } = seen;
+        let &Seen { group: id, host, outcome: o, took, wait, trial } = seen;
         let now = self.now;
-        let part = self.f.lanes.get(id).and_then(|l| self.part(l));
+        let part = self.f.groups.get(id).and_then(|l| self.part(l));
         let ((first, few), crowd) = (self.paces(), self.crowded());
         let held = self.f.dests.get(&id.0).is_some_and(|d| d.held > 0);
-        let Some(l) = self.f.lanes.get_mut(id) else { return };
+        let Some(l) = self.f.groups.get_mut(id) else { return };
         l.trial_out &= !trial;
         // A wait is told by a refusal, or by an answer that shows nothing else for certain.
         l.wait_until = l.wait_until.max(if wait > 0.0 { now + wait } else { 0.0 });
@@ -339,9 +355,9 @@
                 l.share *= 0.8;
                 l.good_at = now;
                 l.soon.add(now, 1.0);
-                l.usual.add(now, f64::from(u8::from(l.phase != Phase::Out)));
-                if matches!(l.phase, Phase::Ramp(since) if now - since > self.s.warm_after_ms) {
-                    (l.phase, l.backoff) = (Phase::Well, TRIAL_MS.0);
+                l.usual.add(now, f64::from(u8::from(l.phase != BreakerState::Open)));
+                if matches!(l.phase, BreakerState::SlowStart(since) if now - since > self.s.warm_after_ms) {
+                    (l.phase, l.backoff) = (BreakerState::Closed, TRIAL_MS.0);
                 }
                 // A pace that is not used proves nothing (as with a congestion window, RFC 7661): growing all
                 // the same it ends far beyond any limit, and a told wait that ends lets a flood go. It also
@@ -358,10 +374,10 @@
                 if let Some(h) = self.f.hosts.get_mut(host) {
                     (h.fails, h.shun_until) = (0, 0.0);
                 }
-                if l.phase == Phase::Out && l.unproved {
+                if l.phase == BreakerState::Open && l.unproved {
                     // Shut for late answers alone, and now they come: it was slow, not gone.
-                    (l.phase, l.backoff) = (Phase::Well, TRIAL_MS.0);
-                } else if l.phase == Phase::Out && (trial || !l.answers) {
+                    (l.phase, l.backoff) = (BreakerState::Closed, TRIAL_MS.0);
+                } else if l.phase == BreakerState::Open && (trial || !l.answers) {
                     // What was out before most calls failed says nothing of now.
                     self.back(id, out);
                 }
@@ -374,7 +390,7 @@
                 // Among many relays a run of refusals is the rush of all, where the answers tell a limit.
                 let lone = !crowd || part.is_none();
                 let again = lone && l.fulls >= SHUT_FULLS && now - l.full_since > SHUT_MS;
-                let again = again || l.phase == Phase::Out;
+                let again = again || l.phase == BreakerState::Open;
                 let once = l.fulls < 2;
                 // Turned away with much of the limit left: the endpoint is full or cold, another may not be.
                 let shun = now + SHUN_MS * (0.5 + self.rng.f64());
@@ -402,13 +418,14 @@
             h.conns = 0;
         }
         let (fails, share, phase, sparse) = (l.fails, l.share, l.phase, l.usual.rate(now) < few);
-        let every = self.f.hosts_of(id.0).filter(|x| x.1.listed == Listed::Active).all(|x| x.1.fails > 0);
+        let every =
+            self.f.hosts_of(id.0).filter(|x| x.1.status == EndpointStatus::Active).all(|x| x.1.fails > 0);
         if fails >= 2 && sparse {
             self.slow(id, false);
         }
         // While out only a failed trial puts the next one off: what was out before says nothing new.
-        let enough = if phase == Phase::Well { OUT_FAILS } else { OUT_FAILS - 2 };
-        if if phase == Phase::Out { trial } else { (every && fails >= enough) || share > OUT_SHARE } {
+        let enough = if phase == BreakerState::Closed { OUT_FAILS } else { OUT_FAILS - 2 };
+        if if phase == BreakerState::Open { trial } else { (every && fails >= enough) || share > OUT_SHARE } {
             self.shut(id, "calls fail", (o == Outcome::Error).then_some(took), out);
         }
     }
@@ -423,11 +440,11 @@
 
     /// A refusal, or failures in a row where calls are few: the lane gets a lower pace. Without it hundreds
     /// of relays that each know little use up a limit, or push over what returns.
-    fn slow(&mut self, id: &LaneId, told: bool) {
+    fn slow(&mut self, id: &EndpointGroupId, told: bool) {
         let (now, random, (first, few)) = (self.now, self.rng.f64(), self.paces());
-        let part = self.f.lanes.get(id).and_then(|l| self.part(l)).unwrap_or(0.0);
+        let part = self.f.groups.get(id).and_then(|l| self.part(l)).unwrap_or(0.0);
         let crowd = part > 0.0 && self.crowded();
-        let Some(l) = self.f.lanes.get_mut(id) else { return };
+        let Some(l) = self.f.groups.get_mut(id) else { return };
         if crowd {
             let more = [self.rng.f64(), self.rng.f64()];
             return l.share_refused(now, part, random, more);
@@ -447,12 +464,12 @@
         l.tokens = if told { 1.0 } else { l.tokens.min(0.5) - random };
     }
 
-    fn report(&mut self, id: &LaneId, report: &[f64]) {
+    fn report(&mut self, id: &EndpointGroupId, report: &[f64]) {
         let limit = self.s.limit_column.and_then(|c| report.get(c)).filter(|x| x.is_finite() && **x > 0.0);
-        let left = self.s.left_column.and_then(|c| report.get(c)).filter(|x| x.is_finite());
+        let left = self.s.remaining_column.and_then(|c| report.get(c)).filter(|x| x.is_finite());
         let part = limit.filter(|_| self.crowded()).map(|limit| limit / self.s.relays as f64);
-        let had = self.f.lanes.get(id).and_then(|l| self.part(l));
-        self.f.lanes.get_mut(id).into_iter().for_each(|l| {
+        let had = self.f.groups.get(id).and_then(|l| self.part(l));
+        self.f.groups.get_mut(id).into_iter().for_each(|l| {
             part.into_iter().for_each(|part| l.share_told(had, part));
             l.told = limit.copied().or(l.told);
             l.left = left.copied().unwrap_or(l.left);
@@ -461,14 +478,15 @@
 
     fn probed(&mut self, host: &str, o: Outcome, report: &[f64], out: &mut Vec<Action>) {
         let Some(id) = self.probes.remove(host) else { return };
-        self.touch_lane(&id);
+        self.touch_group(&id);
         self.report(&id, report);
         if o != Outcome::Delivered {
-            return self.learn(&Seen { lane: &id, host, outcome: o, took: 0.0, wait: 0.0, trial: true }, out);
+            return self
+                .learn(&Seen { group: &id, host, outcome: o, took: 0.0, wait: 0.0, trial: true }, out);
         }
         // A probe may be answered beside the queue: it only earns a real call, it proves nothing.
         let now = self.now;
-        let l = self.f.lanes.get_mut(&id).into_iter();
+        let l = self.f.groups.get_mut(&id).into_iter();
         l.for_each(|l| (l.trial_out, l.probe_good, l.trial_at) = (false, true, now));
     }
 
@@ -496,11 +514,21 @@
 
     /// A request of an earlier process: what its attempts may have done binds here as it did there.
     fn restore(&mut self, event: &Event, out: &mut Vec<Action>) {
-        let Event::Restored { id, class, tenant, key, due, destination: dest, attempts, maybe, .. } = event
+        let Event::Restored {
+            id,
+            class,
+            tenant,
+            key,
+            due,
+            destination: dest,
+            attempts,
+            first_uncertain_send: maybe,
+            ..
+        } = event
         else {
             return;
         };
-        let Event::Restored { uncertain, untried, .. } = event else { return };
+        let Event::Restored { may_be_running: uncertain, untried, .. } = event else { return };
         let (id, class, due) = (*id, (*class).min(self.s.classes.len().saturating_sub(1)), *due);
         let Some(c) = self.s.classes.get(class) else { return out.push(Action::Fail { id }) };
         let born = (due - c.deadline_ms).min(self.now);
@@ -524,9 +552,10 @@
     /// An outage that an earlier process knew of: trials first, or a ramp, as if this one had seen it.
     fn recall(&mut self, o: &Outage) {
         let (now, id) = (self.now, (o.destination, Name::from(o.endpoint.as_str())));
-        self.touch_lane(&id);
-        let l = self.f.lane(&id, || Lane::new(now));
-        (l.phase, l.before, l.trial_at) = (o.back.map_or(Phase::Out, Phase::Ramp), o.before, now);
+        self.touch_group(&id);
+        let l = self.f.group(&id, || EndpointGroup::new(now));
+        (l.phase, l.before, l.trial_at) =
+            (o.recovered_at.map_or(BreakerState::Open, BreakerState::SlowStart), o.rate_before, now);
     }
 
     /// Keeps one place free for what comes next: with the hold full, the request that earns least for the
@@ -554,7 +583,7 @@
             again.into_iter().for_each(|dest| self.weigh(dest));
             let least = self.earns.iter().take(LEAST.0).filter_map(|(_, dest)| self.least(*dest));
             let least = least.min_by(|a, b| a.0.total_cmp(&b.0).then(b.1.seq.cmp(&a.1.seq)));
-            let Some((_, Member { id, .. })) = least else { return };
+            let Some((_, QueuedMessage { id, .. })) = least else { return };
             let Some(dest) = self.msgs.get(&id).map(|m| m.dest) else { return };
             let full = self.f.dests.get_mut(&dest).map(|d| &mut d.full_logged);
             if !full.is_none_or(|logged| std::mem::replace(logged, true)) {
@@ -566,17 +595,17 @@
 
     /// Of a destination's hold what earns least for its time: the newest of some class and tenant, delivered
     /// when all that is held there has gone. Only what it is harmless to refuse counts.
-    pub(crate) fn least(&self, dest: u64) -> Option<(f64, Member)> {
+    pub(crate) fn least(&self, dest: u64) -> Option<(f64, QueuedMessage)> {
         let d = self.f.dests.get(&dest)?;
         let wait = self.drain_ms(dest, d.held);
-        let groups = d.groups.iter().filter(|(g, _)| g.first.is_none() && !g.untried);
-        let earns = groups.filter_map(|(g, group)| {
+        let sub_queues = d.sub_queues.iter().filter(|(g, _)| g.first.is_none() && !g.untried);
+        let earns = sub_queues.filter_map(|(g, sub_queue)| {
             step();
             // The newest would go last; the oldest may have lost its worth.
             let (c, share) = (&self.s.classes[g.class], self.in_share(g.tenant));
-            let earns = [group.first(), group.last()].into_iter().flatten().map(|m| {
+            let earns = [sub_queue.first(), sub_queue.last()].into_iter().flatten().map(|m| {
                 let at = (self.now + wait).min(m.due.get() - 1.0);
-                (self.worth(c, &m, at, share) / wait, m)
+                (self.value(c, &m, at, share) / wait, m)
             });
             earns.min_by(|a, b| a.0.total_cmp(&b.0).then(b.1.seq.cmp(&a.1.seq)))
         });
@@ -593,13 +622,13 @@
         // While slots are short they allow it an even share of them.
         let queues = if self.short() { self.credits.len().max(1) } else { 1 };
         let slots = self.s.slots as f64 / queues as f64;
-        let able = |l: &Lane| match (l.phase, l.pace) {
-            (Phase::Out, _) => 0.0,
+        let able = |l: &EndpointGroup| match (l.phase, l.pace) {
+            (BreakerState::Open, _) => 0.0,
             (_, Some(pace)) => pace,
-            (Phase::Well, _) => slots * 1000.0 / l.latency.map_or(1000.0, |x| x.0.max(1.0)),
+            (BreakerState::Closed, _) => slots * 1000.0 / l.latency.map_or(1000.0, |x| x.0.max(1.0)),
             _ => l.soon.rate(self.now).max(l.usual.rate(self.now)),
         };
-        let rate: f64 = self.f.lanes_of(dest).map(|x| able(x.1)).sum();
+        let rate: f64 = self.f.groups_of(dest).map(|x| able(x.1)).sum();
         count as f64 / rate.max(0.1) * 1000.0
     }
 
@@ -652,7 +681,7 @@
         call.riders.retain(|x| *x != id);
         let first = !std::mem::replace(&mut call.counted, true);
         let over = call.riders.is_empty();
-        let (lane, sent, called_off) = (call.lane.clone(), call.sent, call.called_off);
+        let (group, sent, called_off) = (call.group.clone(), call.sent, call.called_off);
         let Kind { host, trial, .. } = call.kind.clone();
         if !o.never_ran() && m.maybe.as_ref().is_none_or(|x| sent < x.0) {
             m.maybe = Some((sent, host.clone()));
@@ -660,19 +689,19 @@
         if matches!(o, Outcome::TimedOut | Outcome::Broken | Outcome::Stale | Outcome::Cancelled) {
             self.rest_key(&key, id);
         }
-        self.touch_lane(&lane);
+        self.touch_group(&group);
         if over {
             let call = self.calls.remove(&call_id);
-            let l = self.f.lanes.get_mut(&lane).into_iter().zip(call);
+            let l = self.f.groups.get_mut(&group).into_iter().zip(call);
             l.for_each(|(l, call)| l.calls.take(&call.kind, call.sent, call_id));
             self.called_off -= usize::from(called_off);
             // Where connections were refused or broke, idle ones of many relays shut others out, or are dead.
-            let usual = self.f.lanes.get(&lane).map_or(0.0, |l| l.usual.rate(self.now));
-            let held = self.f.dests.get(&lane.0).is_some_and(|d| d.held > 0);
+            let usual = self.f.groups.get(&group).map_or(0.0, |l| l.usual.rate(self.now));
+            let held = self.f.dests.get(&group.0).is_some_and(|d| d.held > 0);
             let harm = self.f.hosts.get(&host).and_then(|h| self.conns_hurt.get(&h.kind));
             let hurt = harm.is_some_and(|at| self.now - at < HURT_MS);
             let close = hurt && !held && usual * KEEP_MS < 1000.0;
-            if let Some(d) = self.f.dests.get_mut(&lane.0) {
+            if let Some(d) = self.f.dests.get_mut(&group.0) {
                 d.out = d.out.saturating_sub(1);
                 d.spend(self.now - sent, o == Outcome::Delivered);
             }
@@ -684,13 +713,13 @@
                 }
             }
         }
-        self.report(&lane, report);
+        self.report(&group, report);
         if first {
             // What was called off here for its lateness says of the lane what a time-out would have said.
-            let silent = self.f.lanes.get(&lane).is_some_and(|l| l.good_at < sent);
+            let silent = self.f.groups.get(&group).is_some_and(|l| l.good_at < sent);
             let o = if o == Outcome::Cancelled && called_off && silent { Outcome::TimedOut } else { o };
             let (took, wait) = (sane(*took_ms, 0.0, 1e9), sane(*wait_ms, 0.0, 1e9));
-            self.learn(&Seen { lane: &lane, host: &host, outcome: o, took, wait, trial }, out);
+            self.learn(&Seen { group: &group, host: &host, outcome: o, took, wait, trial }, out);
         }
         let Some(m) = self.msgs.get_mut(&id) else { return };
         if *settled || m.over {
@@ -721,7 +750,7 @@
         let Some(m) = self.msgs.get_mut(&id) else { return };
         m.held = true;
         let dest = m.dest;
-        let d = self.f.dests.or_insert_with(dest, Dest::default);
+        let d = self.f.dests.or_insert_with(dest, Destination::default);
         d.held += 1;
         if d.held == 1 {
             d.base = zero;
@@ -747,7 +776,7 @@
     /// Until when a request may be sent: a keyed one that may have run, only to arrive within its window.
     pub(crate) fn last_send(&self, m: &Msg) -> f64 {
         let c = &self.s.classes[m.class];
-        let within = (1.0 - WAY) * c.window_ms - self.s.tick_ms;
+        let within = (1.0 - WAY) * c.dedup_window_ms - self.s.tick_ms;
         match &m.maybe {
             Some((at, _)) if c.effect == Effect::Keyed => m.due.min(at + within),
             _ => m.due,
@@ -755,20 +784,20 @@
     }
 
     /// Whether the endpoint would drop a repeat of what a group's requests may have done already.
-    fn group_fits(&self, g: &GroupId, name: &Name, h: &Host) -> bool {
+    fn dedup_scope_fits(&self, g: &SubQueueKey, name: &Name, h: &Host) -> bool {
         let Some(first) = &g.first else { return true };
-        match self.s.classes[g.class].group {
-            Group::All => true,
-            Group::Zone => self.f.hosts.get(first).is_some_and(|f| f.zone == h.zone),
-            Group::Endpoint => first == name,
+        match self.s.classes[g.class].dedup_scope {
+            DedupScope::All => true,
+            DedupScope::Zone => self.f.hosts.get(first).is_some_and(|f| f.zone == h.zone),
+            DedupScope::Endpoint => first == name,
         }
     }
 
     // ---- discovery
 
-    fn discovery(&mut self, news: &Discovery, out: &mut Vec<Action>) {
+    fn discovery(&mut self, news: &ListUpdate, out: &mut Vec<Action>) {
         let (list, whole) = match news {
-            Discovery::Failed => {
+            ListUpdate::Failed => {
                 if self.ask_wait <= ASK_MS.0 {
                     out.push(Action::Log("discovery failing, keeping the list held".to_string()));
                 }
@@ -777,26 +806,26 @@
                 self.ask_wait = (self.ask_wait * 2.0).min(ASK_MS.1);
                 return;
             }
-            Discovery::Whole(list) => (list, true),
-            Discovery::Cached(list) | Discovery::Changes(list) => (list, false),
+            ListUpdate::Full(list) => (list, true),
+            ListUpdate::Cached(list) | ListUpdate::Delta(list) => (list, false),
         };
-        if self.asked && !matches!(news, Discovery::Cached(_)) {
+        if self.asked && !matches!(news, ListUpdate::Cached(_)) {
             (self.watching, self.ask_wait) = (true, ASK_MS.0);
         }
         let (now, touched) = (self.now, &mut self.touched);
-        let mut touch = |id: &LaneId| {
+        let mut touch = |id: &EndpointGroupId| {
             touched.0.insert(id.clone());
             touched.1.insert(id.0);
         };
-        let weights = self.s.weights != WeightMeaning::Nothing;
-        self.f.list(list, whole, weights, &self.s.apart, &mut || Lane::new(now), &mut touch);
+        let weights = self.s.weight_meaning != WeightMeaning::Ignored;
+        self.f.list(list, whole, weights, &self.s.own_limits, &mut || EndpointGroup::new(now), &mut touch);
         // What a route apart was told to wait outlasts its place in the list.
         self.f.sweep(list, whole, &mut touch, |l| l.wait_until <= now);
         self.looked = None;
     }
 
     fn ask(&mut self, out: &mut Vec<Action>) {
-        if self.s.ask_discovery && !self.watching && !self.asked && self.now >= self.ask_at {
+        if self.s.poll_discovery && !self.watching && !self.asked && self.now >= self.ask_at {
             self.asked = true;
             out.push(Action::Watch(true));
         }
@@ -860,46 +889,49 @@
     /// now; `spare`: of those that have nothing to lose by it, safe to repeat or perhaps run already.
     fn best(&self, dest: u64, host: &Name, trial: bool, spare: bool) -> Option<u64> {
         let (d, h) = (self.f.dests.get(&dest)?, self.f.hosts.get(host)?);
-        let lane = self.f.lanes.get(&h.lane);
-        let latency = self.f.lanes_of(dest).filter_map(|(_, l)| l.latency).map(|l| l.0);
+        let group = self.f.groups.get(&h.group);
+        let latency = self.f.groups_of(dest).filter_map(|(_, l)| l.latency).map(|l| l.0);
         let soon = self.now + latency.fold(0.0, f64::max);
         let last = soon + self.drain_ms(dest, d.held);
         let mut best: Option<(f64, u64, u64)> = None;
-        for (g, group) in &d.groups {
+        for (g, sub_queue) in &d.sub_queues {
             step();
             let c = &self.s.classes[g.class];
-            if !self.group_fits(g, host, h) || (spare && g.first.is_none() && c.effect != Effect::Safe) {
+            if !self.dedup_scope_fits(g, host, h) || (spare && g.first.is_none() && c.effect != Effect::Safe)
+            {
                 continue;
             }
             let (mut low, mut high) = (self.now.next_up(), f64::MAX);
             // A trial without the time for an answer shows nothing, and would count as failed.
             if trial {
-                low = low.max(self.now + lane.and_then(|l| l.latency).map_or(0.0, |(mean, dev)| mean + dev));
+                low = low.max(self.now + group.and_then(|l| l.latency).map_or(0.0, |(mean, dev)| mean + dev));
             }
             // An unsafe request is lost by any failure that may have run: it waits for a lane that works.
-            if c.effect == Effect::Unsafe && (trial || lane.is_some_and(|l| l.share > 0.3)) {
+            if c.effect == Effect::Unsafe && (trial || group.is_some_and(|l| l.share > 0.3)) {
                 high = self.now + c.aim_ms;
             }
             // What is out when the process ends may have run, for all that anyone will know.
             if let Some(stop) = self.stop_at {
-                let ends = time_out(self.now, lane?, c, f64::MAX).map_or(f64::MAX, |ms| self.now + ms);
+                let ends = time_out(self.now, group?, c, f64::MAX).map_or(f64::MAX, |ms| self.now + ms);
                 high = if ends > stop { high.min(stop) } else { high };
             }
             let share = self.in_share(g.tenant);
-            let marks = marks(self.s.fade, c, [soon, last]);
-            group.ends(low, high, &marks, &mut |member| {
+            let marks = marks(self.s.value_decay, c, [soon, last]);
+            sub_queue.ends(low, high, &marks, &mut |queued_message| {
                 // A keyed one whose window is over, and which is not answered yet, is not sent any more.
                 let over = |m: &Msg| self.now >= self.last_send(m);
-                if g.first.is_some() && self.msgs.get(&member.id).is_none_or(over) {
+                if g.first.is_some() && self.msgs.get(&queued_message.id).is_none_or(over) {
                     return;
                 }
-                let (lone, due) = (d.held == 1, member.due.get());
+                let (lone, due) = (d.held == 1, queued_message.due.get());
                 // In whole steps: what loses the same but for rounding goes in the order of arrival.
-                let loss = || self.worth(c, &member, soon, share) - self.worth(c, &member, last, share);
+                let loss = || {
+                    self.value(c, &queued_message, soon, share) - self.value(c, &queued_message, last, share)
+                };
                 let urgent = (g.untried && (soon..last).contains(&due)).then_some(URGENT - due);
                 let loss = urgent.unwrap_or_else(|| if lone { 0.0 } else { (loss() * LOSS_STEPS).round() });
-                if best.is_none_or(|b| loss > b.0 || (loss == b.0 && member.seq < b.1)) {
-                    best = Some((loss, member.seq, member.id));
+                if best.is_none_or(|b| loss > b.0 || (loss == b.0 && queued_message.seq < b.1)) {
+                    best = Some((loss, queued_message.seq, queued_message.id));
                 }
             });
         }
@@ -909,14 +941,14 @@
     /// The endpoints of a destination that may be tried, the best first, and whether as a trial.
     fn choices(&self, dest: u64) -> Vec<(Name, bool)> {
         let mut found = Vec::new();
-        for (name, h) in self.f.hosts_of(dest).filter(|x| x.1.listed == Listed::Active) {
-            if self.gate(&h.lane) > self.now {
+        for (name, h) in self.f.hosts_of(dest).filter(|x| x.1.status == EndpointStatus::Active) {
+            if self.gate(&h.group) > self.now {
                 continue;
             }
-            let trial = self.f.lanes.get(&h.lane).is_some_and(|l| l.phase == Phase::Out);
+            let trial = self.f.groups.get(&h.group).is_some_and(|l| l.phase == BreakerState::Open);
             let fresh = self.now - h.used_at < self.s.conn_idle_ms;
             let idle = fresh && h.out < h.conns * self.s.conn_streams;
-            let fee = self.s.route_fee.get(h.zone as usize).filter(|_| !h.lane.1.is_empty());
+            let fee = self.s.route_fee.get(h.zone as usize).filter(|_| !h.group.1.is_empty());
             let cost = if h.zone == self.s.zone { 0.0 } else { self.s.cross_zone_cost }
                 + if idle { 0.0 } else { self.s.handshake_cost }
                 + fee.unwrap_or(&0.0);
@@ -941,9 +973,9 @@
             if let Some(id) = self.best(dest, &host, trial, trial) {
                 return Look::Send(id, host);
             }
-            let lane = self.f.hosts.get(&host).and_then(|h| self.f.lanes.get(&h.lane)).filter(|_| trial);
-            let Some(lane) = lane else { continue };
-            if self.s.may_probe && !lane.probe_good {
+            let group = self.f.hosts.get(&host).and_then(|h| self.f.groups.get(&h.group)).filter(|_| trial);
+            let Some(group) = group else { continue };
+            if self.s.may_probe && !group.probe_good {
                 return Look::Probe(host);
             }
             if let Some(id) = self.best(dest, &host, true, false) {
@@ -958,16 +990,18 @@
         let d = self.f.dests.get(&dest).filter(|d| d.held > 0)?;
         let mut next = f64::MAX;
         let mut at = |t: f64| next = if t > self.now { next.min(t) } else { next };
-        for (_, h) in self.f.hosts_of(dest).filter(|x| x.1.listed == Listed::Active) {
-            let gate = self.gate(&h.lane);
-            let warms = self.f.lanes.get(&h.lane).is_some_and(|l| matches!(l.phase, Phase::Ramp(_)));
+        for (_, h) in self.f.hosts_of(dest).filter(|x| x.1.status == EndpointStatus::Active) {
+            let gate = self.gate(&h.group);
+            let warms =
+                self.f.groups.get(&h.group).is_some_and(|l| matches!(l.phase, BreakerState::SlowStart(_)));
             // What a lane bears grows while it warms, and opens its gate sooner than now reckoned.
             at(if warms { gate.min(self.now + RAMP_MS) } else { gate });
         }
         // What is unsafe goes to a lane that fails once it would else be late.
-        for (g, group) in &d.groups {
+        for (g, sub_queue) in &d.sub_queues {
             let c = &self.s.classes[g.class];
-            let first = group.from((self.now + c.aim_ms).next_up()).filter(|_| c.effect == Effect::Unsafe);
+            let first =
+                sub_queue.from((self.now + c.aim_ms).next_up()).filter(|_| c.effect == Effect::Unsafe);
             first.into_iter().for_each(|m| at(m.due.get() - c.aim_ms));
         }
         Some(next).filter(|t| *t < f64::MAX)
@@ -975,8 +1009,8 @@
 
     /// Until when there is time for an answer to a request that would go out as a trial; after that, a probe.
     pub(crate) fn trial_ends(&self, id: u64, host: &Name) -> Option<f64> {
-        let l = self.f.hosts.get(host).and_then(|h| self.f.lanes.get(&h.lane));
-        let (mean, dev) = l.filter(|l| self.s.may_probe && l.phase == Phase::Out)?.latency?;
+        let l = self.f.hosts.get(host).and_then(|h| self.f.groups.get(&h.group));
+        let (mean, dev) = l.filter(|l| self.s.may_probe && l.phase == BreakerState::Open)?.latency?;
         self.msgs.get(&id).map(|m| (m.due - mean - dev).next_up())
     }
 
@@ -986,8 +1020,8 @@
         if !matches!(self.look(dest), Look::Probe(now) if now == host) {
             return;
         }
-        let Some(id) = self.f.hosts.get(&host).map(|h| h.lane.clone()) else { return };
-        let Some(l) = self.f.lanes.get_mut(&id) else { return };
+        let Some(id) = self.f.hosts.get(&host).map(|h| h.group.clone()) else { return };
+        let Some(l) = self.f.groups.get_mut(&id) else { return };
         l.trial_out = true;
         l.sent.add(now, 1.0, now - self.s.fall_ms.max(self.s.warm_after_ms));
         out.push(Action::Probe { endpoint: host.to_string() });
@@ -997,11 +1031,11 @@
     fn send(&mut self, id: u64, host: &Name, out: &mut Vec<Action>) {
         let now = self.now;
         let (Some(h), Some(m)) = (self.f.hosts.get(host), self.msgs.get(&id)) else { return };
-        let (lane_id, begin_by) = (h.lane.clone(), self.last_send(m));
+        let (group_id, begin_by) = (h.group.clone(), self.last_send(m));
         let c = &self.s.classes[m.class];
         let fragile = c.effect == Effect::Unsafe;
-        let Some(l) = self.f.lanes.get_mut(&lane_id) else { return };
-        let trial = l.phase == Phase::Out;
+        let Some(l) = self.f.groups.get_mut(&group_id) else { return };
+        let trial = l.phase == BreakerState::Open;
         let batch = self.s.batch.get(h.kind).copied().unwrap_or(1).max(1);
         let timeout_ms = time_out(now, l, c, m.due);
         let first = now - self.s.fall_ms.max(self.s.warm_after_ms);
@@ -1017,9 +1051,9 @@
                 self.seq += 1;
                 let kind = Kind { host: host.clone(), aim: At::new(c.aim_ms), trial, fragile };
                 l.calls.put(kind.clone(), now, self.seq);
-                let lane = lane_id.clone();
+                let group = group_id.clone();
                 let call =
-                    Call { lane, kind, sent: now, riders: Vec::new(), counted: false, called_off: false };
+                    Call { group, kind, sent: now, riders: Vec::new(), counted: false, called_off: false };
                 self.calls.insert(self.seq, call);
                 if batch > 1 && !trial {
                     self.open.insert(host.clone(), (self.seq, batch - 1));
@@ -1031,14 +1065,14 @@
                 if let Some(h) = self.f.hosts.get_mut(host) {
                     h.begin(now, self.s.conn_idle_ms, self.s.conn_streams);
                 }
-                self.f.dests.get_mut(&lane_id.0).into_iter().for_each(|d| d.out += 1);
+                self.f.dests.get_mut(&group_id.0).into_iter().for_each(|d| d.out += 1);
                 self.seq
             }
         };
         if let Some(call) = self.calls.get_mut(&joined) {
             call.riders.push(id);
             if fragile && !call.kind.fragile {
-                let l = self.f.lanes.get_mut(&lane_id);
+                let l = self.f.groups.get_mut(&group_id);
                 let old = std::mem::replace(&mut call.kind.fragile, true);
                 let kind = Kind { fragile: old, ..call.kind.clone() };
                 l.into_iter().for_each(|l| {
@@ -1047,7 +1081,7 @@
                 });
             }
         }
-        self.touch_lane(&lane_id);
+        self.touch_group(&group_id);
         self.unhold(id);
         if let Some(m) = self.msgs.get_mut(&id) {
             m.flying.push((m.tries, joined));
@@ -1060,29 +1094,29 @@
     /// silent: it is shut before the time-outs say so, so that the hold is not spent on it.
     fn watch_overruns(&mut self, out: &mut Vec<Action>) {
         let due = self.late.iter().take_while(|x| x.0.get() <= self.now).map(|x| x.1.clone());
-        let mut due: Vec<LaneId> = due.collect();
+        let mut due: Vec<EndpointGroupId> = due.collect();
         due.sort_unstable();
         for id in due {
-            let Some(l) = self.f.lanes.get(&id) else { continue };
+            let Some(l) = self.f.groups.get(&id) else { continue };
             let late = l.calls.after(l.good_at, 2).filter(|x| !x.0.trial);
             let late =
                 late.filter(|(kind, sent, _)| self.now - sent > 1.5 * l.overrun(kind.aim.get())).count();
             let fails = l.fails;
-            if l.phase != Phase::Out && late > 0 && late as u32 + fails >= 2 {
+            if l.phase != BreakerState::Open && late > 0 && late as u32 + fails >= 2 {
                 self.shut(&id, "no answers", None, out);
-                self.f.lanes.get_mut(&id).into_iter().for_each(|l| l.unproved = fails == 0);
-                self.touch_lane(&id);
+                self.f.groups.get_mut(&id).into_iter().for_each(|l| l.unproved = fails == 0);
+                self.touch_group(&id);
             }
         }
     }
 
     /// When [`Relay::watch_overruns`] would shut the lane.
-    pub(crate) fn late_at(&self, l: &Lane) -> Option<f64> {
+    pub(crate) fn late_at(&self, l: &EndpointGroup) -> Option<f64> {
         let calls = l.calls.after(l.good_at, 2).filter(|x| !x.0.trial);
         let mut late: Vec<f64> =
             calls.map(|(kind, sent, _)| sent + 1.5 * l.overrun(kind.aim.get())).collect();
         late.sort_unstable_by(f64::total_cmp);
-        late.get(usize::from(l.fails == 0)).copied().filter(|_| l.phase != Phase::Out)
+        late.get(usize::from(l.fails == 0)).copied().filter(|_| l.phase != BreakerState::Open)
     }
 
     /// Slots held by calls that outran their latency are worth less than slots for queues that can send: with
@@ -1112,19 +1146,20 @@
     /// hold one of the few slots that a sick destination has while more waits for these.
     fn lost_at_ceiling(&self) -> Option<u64> {
         let due = self.overdue.iter().take_while(|x| x.0 .0.get() < self.now).take(OVERDUE);
-        let lost = due.filter(|((_, call), lane)| {
+        let lost = due.filter(|((_, call), group)| {
             // An unsafe message is lost by it.
             let Some(c) = self.calls.get(call).filter(|c| !c.kind.fragile) else { return false };
-            let full = |d: &Dest| d.held > 0 && d.out >= self.ceiling(lane.0);
-            let lost =
-                |l: &Lane| self.now - c.sent > LOST * l.overrun(c.kind.aim.get()) && l.good_at > c.sent;
-            self.f.lanes.get(lane).is_some_and(lost) && self.f.dests.get(&lane.0).is_some_and(full)
+            let full = |d: &Destination| d.held > 0 && d.out >= self.ceiling(group.0);
+            let lost = |l: &EndpointGroup| {
+                self.now - c.sent > LOST * l.overrun(c.kind.aim.get()) && l.good_at > c.sent
+            };
+            self.f.groups.get(group).is_some_and(lost) && self.f.dests.get(&group.0).is_some_and(full)
         });
         lost.map(|x| x.0 .1).next()
     }
 
     /// When the first of a lane's calls is given no more time, and which.
-    pub(crate) fn overdue_at(&self, l: &Lane) -> Option<(f64, u64)> {
+    pub(crate) fn overdue_at(&self, l: &EndpointGroup) -> Option<(f64, u64)> {
         // Also of a lane that delivers: where connections fall silent, its lost calls would fill the slots.
         let ends = l.calls.oldest().map(|(kind, sent, call)| {
             let patience = if kind.fragile { 3.0 } else { 1.0 };
@@ -1177,7 +1212,7 @@
             let soon = self.overdue.iter().take(OVERDUE).map(|x| x.0 .0.get() + 1.0);
             soon.filter(|t| *t > self.now).take(1).for_each(&mut at);
         }
-        if self.s.ask_discovery && !self.watching && !self.asked {
+        if self.s.poll_discovery && !self.watching && !self.asked {
             at(self.ask_at);
         }
         if next < self.armed {
--- a/crates/linenhall/src/state.rs
+++ b/crates/linenhall/src/state.rs
@@ -1,16 +1,16 @@
 //! Plain records of what a relay remembers. Nothing here decides.
 
-use crate::fleet::{LaneId, Name};
-use crate::index::group::Member;
-use crate::index::lane_calls::Kind;
+use crate::fleet::{EndpointGroupId, Name};
+use crate::index::group_calls::Kind;
+use crate::index::sub_queue::QueuedMessage;
 use crate::index::At;
-use crate::interface::{Class, Fade, Outcome, Settings};
+use crate::interface::{Class, Outcome, Settings, ValueDecay};
 pub use crate::meter::Meter;
 
 /// A call that is out; with batches it carries several requests.
 #[derive(Clone, Debug)]
 pub struct Call {
-    pub lane: LaneId,
+    pub group: EndpointGroupId,
     pub kind: Kind,
     pub sent: f64,
     /// The requests that wait for its end.
@@ -37,7 +37,7 @@
     pub not_before: f64,
     pub over: bool,
     pub started: bool,
-    /// See [`crate::fleet::GroupId::untried`].
+    /// See [`crate::fleet::SubQueueKey::untried`].
     pub untried: bool,
 }
 
@@ -50,13 +50,13 @@
 }
 
 /// A message as it stands in its group.
-pub fn member(id: u64, m: &Msg) -> Member {
-    Member { due: At::new(m.due), seq: m.seq, id, born: At::new(m.born) }
+pub fn queued_message(id: u64, m: &Msg) -> QueuedMessage {
+    QueuedMessage { due: At::new(m.due), seq: m.seq, id, born: At::new(m.born) }
 }
 
 /// What the end of a call or probe shows of its lane and endpoint.
 pub struct Seen<'a> {
-    pub lane: &'a LaneId,
+    pub group: &'a EndpointGroupId,
     pub host: &'a str,
     pub outcome: Outcome,
     pub took: f64,
@@ -66,10 +66,10 @@
 
 /// Due times between which the worth of requests of a class, and so what they lose between two times, only
 /// rises or only falls: where they get late, where the late worth is reached, where they end.
-pub fn marks(fade: Fade, c: &Class, times: [f64; 2]) -> [f64; 6] {
-    let fades = match fade {
-        Fade::Halves => c.aim_ms * -c.late_worth.max(1e-9).log2(),
-        Fade::Even => c.deadline_ms - c.aim_ms,
+pub fn marks(value_decay: ValueDecay, c: &Class, times: [f64; 2]) -> [f64; 6] {
+    let fades = match value_decay {
+        ValueDecay::Halving => c.aim_ms * -c.late_value.max(1e-9).log2(),
+        ValueDecay::Linear => c.deadline_ms - c.aim_ms,
     };
     let of = |t: f64| {
         let late = t - c.aim_ms + c.deadline_ms;
@@ -107,16 +107,16 @@
     set_sane(&mut s.order_pause_ms, 0.0, 1e9);
     set_sane(&mut s.conn_idle_ms, 0.0, 1e9);
     set_sane(&mut s.max_retry_after_ms, 0.0, 1e9);
-    set_sane(&mut s.over_share_worth, 0.0, 1.0);
+    set_sane(&mut s.over_share_value, 0.0, 1.0);
     for rate in &mut s.tenant_rates {
         set_sane(rate, 0.0, 1e9);
     }
     for c in &mut s.classes {
         set_sane(&mut c.aim_ms, 1.0, 1e9);
         set_sane(&mut c.deadline_ms, 1.0, 1e9);
-        set_sane(&mut c.window_ms, 0.0, 1e9);
-        set_sane(&mut c.worth, 0.0, 1e9);
-        set_sane(&mut c.late_worth, 0.0, 1.0);
+        set_sane(&mut c.dedup_window_ms, 0.0, 1e9);
+        set_sane(&mut c.value, 0.0, 1e9);
+        set_sane(&mut c.late_value, 0.0, 1.0);
     }
     s
 }
--- a/crates/linenhall/src/upkeep.rs
+++ b/crates/linenhall/src/upkeep.rs
@@ -1,16 +1,16 @@
 //! Keeps the module's indexes as what happens changes things: what changed is marked, looked at again before the round
 //! ends, and put where release will find it. What is decided about it is `logic`'s.
 
-use crate::fleet::GroupId;
-use crate::fleet::{Dest, Lane, LaneId, Name, Phase};
+use crate::fleet::SubQueueKey;
+use crate::fleet::{BreakerState, Destination, EndpointGroup, EndpointGroupId, Name};
 use crate::index::At;
 use crate::interface::{Effect, Event};
 use crate::logic::Relay;
-use crate::state::{member, Look, Msg};
+use crate::state::{queued_message, Look, Msg};
 
 /// A destination that may not be forgotten.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Kept;
+pub struct InUse;
 
 impl Relay {
     pub(crate) fn touch(&mut self, dest: u64) {
@@ -21,7 +21,7 @@
         self.looked = self.looked.take().filter(|x| x.0 != dest);
     }
 
-    pub(crate) fn touch_lane(&mut self, id: &LaneId) {
+    pub(crate) fn touch_group(&mut self, id: &EndpointGroupId) {
         self.touched.0.insert(id.clone());
         self.touch(id.0);
     }
@@ -29,7 +29,7 @@
     /// Looks again at what changed.
     pub(crate) fn settle(&mut self) {
         while let Some(id) = self.touched.0.pop_first() {
-            let l = self.f.lanes.get(&id);
+            let l = self.f.groups.get(&id);
             let late = l.and_then(|l| self.late_at(l)).map(At::new);
             let overdue = l.and_then(|l| self.overdue_at(l));
             self.late.place(&id, late);
@@ -44,14 +44,15 @@
         }
         while let Some(dest) = self.touched.1.pop_first() {
             // One whose turn may come anyway is looked at when it does, unless it might send a probe by now.
-            let probes = self.s.may_probe && self.f.lanes_of(dest).any(|x| x.1.phase == Phase::Out);
+            let probes = self.s.may_probe && self.f.groups_of(dest).any(|x| x.1.phase == BreakerState::Open);
             match self.f.dests.get(&dest) {
                 Some(d) if d.held > 0 && !probes && self.credits.has(dest) => {
                     self.credits.put(dest, d.base, d.next);
                 }
                 _ => self.file(dest),
             }
-            let idle = |d: &Dest| d.held == 0 && d.out == 0 && d.hosts.is_empty() && d.lanes.is_empty();
+            let idle =
+                |d: &Destination| d.held == 0 && d.out == 0 && d.hosts.is_empty() && d.groups.is_empty();
             if self.f.dests.get(&dest).is_some_and(idle) {
                 self.f.dests.remove(&dest);
             }
@@ -89,14 +90,16 @@
         self.ends.drop(&id);
         self.resting.drop(&id);
         self.touch(dest);
-        let Some((group, member)) = self.msgs.get(&id).map(|m| (self.group(m), member(id, m))) else {
+        let Some((sub_queue_key, queued_message)) =
+            self.msgs.get(&id).map(|m| (self.sub_queue_key(m), queued_message(id, m)))
+        else {
             return;
         };
         let Some(d) = self.f.dests.get_mut(&dest) else { return };
-        if let Some(g) = d.groups.get_mut(&group) {
-            g.take(member);
+        if let Some(g) = d.sub_queues.get_mut(&sub_queue_key) {
+            g.take(queued_message);
             if g.is_empty() {
-                d.groups.remove(&group);
+                d.sub_queues.remove(&sub_queue_key);
             }
         }
         d.held -= 1;
@@ -111,23 +114,24 @@
     /// Puts a held request among those that may go, or among those that something of their own holds back.
     pub(crate) fn refile(&mut self, id: u64) {
         let Some(m) = self.msgs.get(&id).filter(|m| m.held) else { return };
-        let (free, group, member, dest) = (self.free_at(id, m), self.group(m), member(id, m), m.dest);
+        let (free, sub_queue_key, queued_message, dest) =
+            (self.free_at(id, m), self.sub_queue_key(m), queued_message(id, m), m.dest);
         let ready = free <= self.now;
         if let Some(d) = self.f.dests.get_mut(&dest) {
-            let g = d.groups.entry(group).or_default();
-            g.take(member);
-            g.put(member, ready);
+            let g = d.sub_queues.entry(sub_queue_key).or_default();
+            g.take(queued_message);
+            g.put(queued_message, ready);
             // Until it is looked at, what has come to be free may be what it would send.
-            d.next = if ready { d.next.min(member.seq) } else { d.next };
+            d.next = if ready { d.next.min(queued_message.seq) } else { d.next };
         }
         self.resting.place(&id, Some(At::new(free)).filter(|_| !ready && free < f64::MAX));
         self.touch(dest);
     }
 
-    pub(crate) fn group(&self, m: &Msg) -> GroupId {
+    pub(crate) fn sub_queue_key(&self, m: &Msg) -> SubQueueKey {
         let keyed = self.s.classes[m.class].effect == Effect::Keyed;
         let first = m.maybe.as_ref().filter(|_| keyed).map(|x| x.1.clone());
-        GroupId { class: m.class, tenant: m.tenant, first, untried: m.untried }
+        SubQueueKey { class: m.class, tenant: m.tenant, first, untried: m.untried }
     }
 
     /// Puts a destination anew among those weighed by what their holds earn least.
@@ -140,22 +144,22 @@
 
     /// A request is given up: for others of its key it is over once its sender has heard.
     pub(crate) fn owe(&mut self, id: u64) {
-        let m = self.msgs.get(&id).filter(|m| self.s.ends_told && !m.over);
+        let m = self.msgs.get(&id).filter(|m| self.s.confirms_answers && !m.over);
         m.into_iter().for_each(|m| self.keys.owe(&m.key, m.seq, id));
     }
 
     /// A sender has heard the end of its request, or has yet to hear it.
     pub(crate) fn told(&mut self, event: &Event) {
         match event {
-            Event::Owed { id, key } => {
+            Event::AnswerPending { id, key } => {
                 let key = Name::from(key.as_str());
                 self.seq += 1;
                 self.keys.queue(&Some(key.clone()), self.seq, *id);
                 self.keys.owe(&Some(key.clone()), self.seq, *id);
                 self.keys.leave(key, self.seq, *id, self.now);
             }
-            Event::EndOwed { id } => self.owe(*id),
-            Event::Told { id } => {
+            Event::AnswerExpected { id } => self.owe(*id),
+            Event::AnswerConfirmed { id } => {
                 let next = self.keys.told(*id, self.now);
                 next.into_iter().for_each(|id| self.refile(id));
             }
@@ -166,19 +170,19 @@
     /// Forgets a destination, if nothing is held or out there and nothing is known that binds a later call: it is well, no wait
     /// or quiet time is left, and its bucket is as full as it will be. Gives whether it was forgotten, and the names of its hosts:
     /// whoever names it next has them listed first. `None` for one that is not known. What is lost is what was measured: latency, told limit, the rates of late.
-    pub fn forget(&mut self, now: f64, dest: u64) -> Option<Result<Vec<Name>, Kept>> {
+    pub fn forget(&mut self, now: f64, dest: u64) -> Option<Result<Vec<Name>, InUse>> {
         self.now = self.now.max(now);
         let now = self.now;
         let d = self.f.dests.get(&dest)?;
-        let quiet = d.held == 0 && d.out == 0 && d.groups.is_empty();
+        let quiet = d.held == 0 && d.out == 0 && d.sub_queues.is_empty();
         let idle = self.f.hosts_of(dest).all(|(_, h)| h.out == 0 && h.shun_until <= now);
-        let binds = |l: &Lane| !l.binds_nothing(now) || l.ready(now) > now;
-        if !quiet || !idle || self.f.lanes_of(dest).any(|(_, l)| binds(l)) {
-            return Some(Err(Kept));
+        let binds = |l: &EndpointGroup| !l.binds_nothing(now) || l.ready(now) > now;
+        if !quiet || !idle || self.f.groups_of(dest).any(|(_, l)| binds(l)) {
+            return Some(Err(InUse));
         }
-        let lanes: Vec<LaneId> = self.f.lanes_of(dest).map(|x| x.0).collect();
+        let groups: Vec<EndpointGroupId> = self.f.groups_of(dest).map(|x| x.0).collect();
         let hosts = self.f.forget(dest);
-        lanes.iter().for_each(|id| self.touch_lane(id));
+        groups.iter().for_each(|id| self.touch_group(id));
         self.touch(dest);
         self.settle();
         Some(Ok(hosts))
--- a/crates/linenhall/src/view.rs
+++ b/crates/linenhall/src/view.rs
@@ -1,13 +1,13 @@
 //! What can be seen of a relay's state from outside. Nothing here decides.
 
-use crate::fleet::{Lane, Phase};
-use crate::interface::{Listed, Outage};
+use crate::fleet::{BreakerState, EndpointGroup};
+use crate::interface::{EndpointStatus, Outage};
 use crate::logic::Relay;
 use serde::{Deserialize, Serialize};
 
 /// What keeps the messages held for a destination from going out. Of several the first in this order is named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Bound {
+pub enum WaitReason {
     /// It has no endpoint that takes anything new.
     NoEndpoint,
     /// It was told to wait.
@@ -32,34 +32,34 @@
     Own,
 }
 
-impl Bound {
+impl WaitReason {
     /// All of them, in their order.
-    pub const ALL: [Bound; 11] = [
-        Bound::NoEndpoint,
-        Bound::Wait,
-        Bound::Trial,
-        Bound::Ramp,
-        Bound::Quiet,
-        Bound::Bucket,
-        Bound::Pace,
-        Bound::Half,
-        Bound::ThreeQuarters,
-        Bound::Slots,
-        Bound::Own,
+    pub const ALL: [WaitReason; 11] = [
+        WaitReason::NoEndpoint,
+        WaitReason::Wait,
+        WaitReason::Trial,
+        WaitReason::Ramp,
+        WaitReason::Quiet,
+        WaitReason::Bucket,
+        WaitReason::Pace,
+        WaitReason::Half,
+        WaitReason::ThreeQuarters,
+        WaitReason::Slots,
+        WaitReason::Own,
     ];
 }
 
 /// How what a call goes to stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LaneState {
+pub enum GroupHealth {
     /// Nothing is known against it.
-    Well,
+    Healthy,
     /// A call outruns its latency, or its last outcome failed.
-    Sick,
+    Degraded,
     /// Single trials.
-    Out,
+    Open,
     /// Back, and perhaps cold.
-    Ramp,
+    SlowStart,
 }
 
 impl Relay {
@@ -80,61 +80,61 @@
 
     /// How much is remembered of requests, calls, endpoints and lanes: what a long run must not let grow.
     pub fn sizes(&self) -> [usize; 4] {
-        let [hosts, lanes] = self.f.sizes();
-        [self.msgs.len(), self.calls.len(), hosts, lanes]
+        let [hosts, groups] = self.f.sizes();
+        [self.msgs.len(), self.calls.len(), hosts, groups]
     }
 
     /// What keeps the messages held for a destination waiting, as of the last round.
-    pub fn bound(&self, dest: u64) -> Option<Bound> {
+    pub fn wait_reason(&self, dest: u64) -> Option<WaitReason> {
         let d = self.f.dests.get(&dest).filter(|d| d.held > 0)?;
         let now = self.now;
-        let mut shut: Option<Bound> = Some(Bound::NoEndpoint);
-        for (_, h) in self.f.hosts_of(dest).filter(|x| x.1.listed == Listed::Active) {
-            let Some(l) = self.f.lanes.get(&h.lane) else { continue };
-            let why = (self.gate(&h.lane) > now).then(|| shut_by(l, now));
+        let mut shut: Option<WaitReason> = Some(WaitReason::NoEndpoint);
+        for (_, h) in self.f.hosts_of(dest).filter(|x| x.1.status == EndpointStatus::Active) {
+            let Some(l) = self.f.groups.get(&h.group) else { continue };
+            let why = (self.gate(&h.group) > now).then(|| shut_by(l, now));
             // The endpoint that is nearest to taking something speaks for all.
-            shut = if shut == Some(Bound::NoEndpoint) || why.is_none() { why } else { shut.max(why) };
+            shut = if shut == Some(WaitReason::NoEndpoint) || why.is_none() { why } else { shut.max(why) };
             if shut.is_none() {
                 break;
             }
         }
         Some(match shut {
             Some(why) => why,
-            None if d.out >= self.ceiling(dest) && self.sick(dest) => Bound::Half,
-            None if d.out >= self.ceiling(dest) => Bound::ThreeQuarters,
-            None if self.calls.len() >= self.s.slots => Bound::Slots,
-            None => Bound::Own,
+            None if d.out >= self.ceiling(dest) && self.sick(dest) => WaitReason::Half,
+            None if d.out >= self.ceiling(dest) => WaitReason::ThreeQuarters,
+            None if self.calls.len() >= self.s.slots => WaitReason::Slots,
+            None => WaitReason::Own,
         })
     }
 
     /// How the lane of an endpoint stands.
-    pub fn lane_state(&self, dest: u64, endpoint: &str) -> LaneState {
-        let lane = self.f.hosts.get(endpoint).and_then(|h| self.f.lanes.get(&h.lane));
-        match lane.map(|l| l.phase) {
-            Some(Phase::Out) => LaneState::Out,
-            Some(Phase::Ramp(_)) => LaneState::Ramp,
-            _ if self.sick(dest) => LaneState::Sick,
-            _ => LaneState::Well,
+    pub fn group_health(&self, dest: u64, endpoint: &str) -> GroupHealth {
+        let group = self.f.hosts.get(endpoint).and_then(|h| self.f.groups.get(&h.group));
+        match group.map(|l| l.phase) {
+            Some(BreakerState::Open) => GroupHealth::Open,
+            Some(BreakerState::SlowStart(_)) => GroupHealth::SlowStart,
+            _ if self.sick(dest) => GroupHealth::Degraded,
+            _ => GroupHealth::Healthy,
         }
     }
 }
 
 /// Which of the gate's reasons holds a lane that is shut.
-fn shut_by(l: &Lane, now: f64) -> Bound {
+fn shut_by(l: &EndpointGroup, now: f64) -> WaitReason {
     let tokens = |pace: f64| l.tokens + pace * (now - l.filled).max(0.0) / 1000.0;
     match l.phase {
-        _ if l.wait_until > now => Bound::Wait,
-        Phase::Out => Bound::Trial,
-        _ if l.quiet_until > now => Bound::Quiet,
+        _ if l.wait_until > now => WaitReason::Wait,
+        BreakerState::Open => WaitReason::Trial,
+        _ if l.quiet_until > now => WaitReason::Quiet,
         _ if l.pace.is_some_and(|pace| tokens(pace) < 1.0) => {
             if l.emptied_until > now {
-                Bound::Bucket
+                WaitReason::Bucket
             } else {
-                Bound::Pace
+                WaitReason::Pace
             }
         }
-        Phase::Ramp(_) => Bound::Ramp,
+        BreakerState::SlowStart(_) => WaitReason::Ramp,
         // One call until its limit is told.
-        Phase::Well => Bound::Pace,
+        BreakerState::Closed => WaitReason::Pace,
     }
 }
--- a/crates/membership/src/used.rs
+++ b/crates/membership/src/active_set.rs
@@ -13,17 +13,17 @@
 }
 
 /// See the module's page.
-pub struct Used {
+pub struct ActiveSet {
     places: Vec<Place>,
     at: HashMap<u64, u32, RandomState>,
     hand: usize,
     most: usize,
 }
 
-impl Used {
+impl ActiveSet {
     /// Room for so many, one at the least. More may be in use than that, as long as none of them may be forgotten.
-    pub fn new(most: usize) -> Used {
-        Used { places: Vec::new(), at: HashMap::default(), hand: 0, most: most.max(1) }
+    pub fn new(most: usize) -> ActiveSet {
+        ActiveSet { places: Vec::new(), at: HashMap::default(), hand: 0, most: most.max(1) }
     }
 
     /// Destinations in use.
--- a/crates/membership/src/list.rs
+++ b/crates/membership/src/list.rs
@@ -1,6 +1,6 @@
 //! Discovery's list, as it stands on the socket and in the configuration.
 
-use linenhall::{Discovery, Endpoint, Listed};
+use linenhall::{Endpoint, EndpointStatus, ListUpdate};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -82,20 +82,20 @@
             zone: place(&self.zones, &e.zone) as u32,
             kind: self.kind(&e.kind),
             weight: e.weight,
-            listed: match e.status {
-                Status::Active => Listed::Active,
-                Status::Leaving => Listed::Leaving,
-                Status::Left => Listed::Gone,
+            status: match e.status {
+                Status::Active => EndpointStatus::Active,
+                Status::Leaving => EndpointStatus::Draining,
+                Status::Left => EndpointStatus::Removed,
             },
         }
     }
 
     /// A list as the module knows it.
-    pub fn discovery(&self, list: &List) -> Discovery {
+    pub fn discovery(&self, list: &List) -> ListUpdate {
         let endpoints = list.endpoints.iter().map(|e| self.endpoint(e)).collect();
         match list.snapshot {
-            true => Discovery::Whole(endpoints),
-            false => Discovery::Changes(endpoints),
+            true => ListUpdate::Full(endpoints),
+            false => ListUpdate::Delta(endpoints),
         }
     }
 }
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -18,26 +18,26 @@
 
 /// A host that was told to be leaving or gone.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Departed {
+pub struct Tombstone {
     /// Its name.
     pub name: String,
     /// When it had last started, as told; a later start is another life of it.
     pub since_ms: f64,
     /// Who told it, and in which version of its list.
     pub agent: String,
-    /// See [`Departed::agent`].
+    /// See [`Tombstone::agent`].
     pub index: u64,
 }
 
 /// What an agent has told.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct AppliedUpdate {
     /// What is new by it: changes, those of a whole list too.
     pub list: List,
     /// Hosts that are of another destination now: of which they were, and of which they are.
     pub moved: Vec<(u64, u64)>,
-    /// Whether [`Members::departed`] has changed.
-    pub departures: bool,
+    /// Whether [`Members::tombstones`] has changed.
+    pub tombstones_changed: bool,
 }
 
 /// A host that an agent lists as active against what was told before.
@@ -51,7 +51,7 @@
 #[derive(Default)]
 pub struct Members {
     /// Names by the order in which they were told.
-    departed: BTreeMap<u64, Departed>,
+    departed: BTreeMap<u64, Tombstone>,
     by_name: HashMap<String, u64>,
     told: u64,
     /// What is listed, with those as leaving that are doubted.
@@ -62,14 +62,14 @@
 
 impl Members {
     /// One that goes on from what an earlier process was told.
-    pub fn recalled(departed: Vec<Departed>) -> Members {
+    pub fn from_tombstones(departed: Vec<Tombstone>) -> Members {
         let mut members = Members::default();
         departed.into_iter().for_each(|d| members.depart(d));
         members
     }
 
     /// Departures to be remembered by a later process, the oldest first.
-    pub fn departed(&self) -> Vec<Departed> {
+    pub fn tombstones(&self) -> Vec<Tombstone> {
         self.departed.values().cloned().collect()
     }
 
@@ -85,7 +85,7 @@
 
     /// A list from before the first answer of an agent: a host that was told to be leaving since is leaving there. Gives what
     /// is new by it.
-    pub fn known(&mut self, mut list: List) -> List {
+    pub fn apply_known(&mut self, mut list: List) -> List {
         for e in list.endpoints.iter_mut().filter(|e| e.status == Status::Active) {
             let left = self.by_name.get(&e.name).and_then(|n| self.departed.get(n));
             if left.is_some_and(|d| e.since_ms <= d.since_ms) {
@@ -98,7 +98,7 @@
 
     /// What an agent tells at `now`. `None` for the empty list at version 0 of an agent that has not been sent one yet: that
     /// tells nothing. Costs what is told.
-    pub fn told(&mut self, agent: SocketAddr, list: List, now: f64) -> Option<Told> {
+    pub fn apply(&mut self, agent: SocketAddr, list: List, now: f64) -> Option<AppliedUpdate> {
         if list.snapshot && list.endpoints.is_empty() && list.index == 0 {
             return None;
         }
@@ -144,7 +144,7 @@
             self.list(entry, &mut news, &mut moved);
         }
         let list = List { index, snapshot: false, endpoints: news };
-        Some(Told { list, moved, departures: self.told != before })
+        Some(AppliedUpdate { list, moved, tombstones_changed: self.told != before })
     }
 
     /// Takes an entry over, and notes whether it is news.
@@ -165,17 +165,17 @@
     /// Whether an entry that says active goes against what was told by somebody who may know better.
     fn doubts(&self, e: &Entry, agent: SocketAddr, index: u64) -> bool {
         let departed = self.by_name.get(&e.name).and_then(|n| self.departed.get(n));
-        let newer = |d: &Departed| d.agent == agent.to_string() && index > d.index;
+        let newer = |d: &Tombstone| d.agent == agent.to_string() && index > d.index;
         departed.is_some_and(|d| e.since_ms <= d.since_ms && !newer(d))
     }
 
     fn leaves(&mut self, name: &str, since_ms: f64, agent: SocketAddr, index: u64) {
         let active = self.catalog.state(name).filter(|x| x.1 == Status::Active);
         let since_ms = active.map_or(since_ms, |x| x.2.max(since_ms));
-        self.depart(Departed { name: name.to_string(), since_ms, agent: agent.to_string(), index });
+        self.depart(Tombstone { name: name.to_string(), since_ms, agent: agent.to_string(), index });
     }
 
-    fn depart(&mut self, departed: Departed) {
+    fn depart(&mut self, departed: Tombstone) {
         if departed.name.len() > MOST_NAME || departed.agent.len() > MOST_NAME {
             return;
         }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,24 +1,24 @@
 //! What one relay holds of all that is listed, and what of it those who decide and carry are told: the hosts of the destinations
 //! in use. As long as there is room for all destinations that are listed, all are in use from the first list on.
 
+use crate::active_set::ActiveSet;
 use crate::list::{Entry, List, Status};
-use crate::members::{Departed, Members, Told};
-use crate::used::Used;
+use crate::members::{AppliedUpdate, Members, Tombstone};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
 /// See the module's page.
 pub struct View {
     members: Members,
-    used: Used,
+    used: ActiveSet,
     /// The version of the list that was taken in last.
     index: u64,
 }
 
 impl View {
     /// Goes on from departures that an earlier process was told; `most` destinations are in use at once.
-    pub fn new(departed: Vec<Departed>, most: usize) -> View {
-        View { members: Members::recalled(departed), used: Used::new(most), index: 0 }
+    pub fn new(departed: Vec<Tombstone>, most: usize) -> View {
+        View { members: Members::from_tombstones(departed), used: ActiveSet::new(most), index: 0 }
     }
 
     /// Who is believed, and what is listed.
@@ -42,19 +42,19 @@
         Some(List { index: self.index, snapshot: true, endpoints })
     }
 
-    /// See [`Members::known`].
-    pub fn known(&mut self, list: List) -> List {
+    /// See [`Members::apply_known`].
+    pub fn apply_known(&mut self, list: List) -> List {
         self.index = list.index;
-        let list = self.members.known(list);
+        let list = self.members.apply_known(list);
         self.of_use(list, &[])
     }
 
-    /// See [`Members::told`]; what is told on is of destinations in use.
-    pub fn told(&mut self, agent: SocketAddr, list: List, now: f64) -> Option<Told> {
-        let Told { list, moved, departures } = self.members.told(agent, list, now)?;
+    /// See [`Members::apply`]; what is told on is of destinations in use.
+    pub fn apply(&mut self, agent: SocketAddr, list: List, now: f64) -> Option<AppliedUpdate> {
+        let AppliedUpdate { list, moved, tombstones_changed } = self.members.apply(agent, list, now)?;
         self.index = list.index;
         let list = self.of_use(list, &moved);
-        Some(Told { list, moved, departures })
+        Some(AppliedUpdate { list, moved, tombstones_changed })
     }
 
     fn of_use(&mut self, list: List, moved: &[(u64, u64)]) -> List {
@@ -84,12 +84,12 @@
     }
 
     /// Whether a destination is in use.
-    pub fn uses(&self, destination: u64) -> bool {
+    pub fn is_active(&self, destination: u64) -> bool {
         self.used.has(destination)
     }
 
     /// A message for this destination: the hosts that are to be told of first, where it was not in use.
-    pub fn enlist(&mut self, destination: u64) -> Option<List> {
+    pub fn activate(&mut self, destination: u64) -> Option<List> {
         if self.used.mark(destination) || !self.members.catalog().has(destination) {
             return None;
         }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -3,10 +3,10 @@
 #![warn(missing_docs)]
 
 mod clock;
-mod seams;
 mod serve;
+mod traits;
 
 pub use clock::Clock;
-pub use mulleinslip_engine::Alive;
-pub use seams::{CallOff, Carrier, Front, Gate};
-pub use serve::{EndedHere, Handle, Queue, Runtime, StopTimes};
+pub use mulleinslip_engine::Predecessor;
+pub use serve::{ForwardedEnd, Handle, Queue, Runtime, ShutdownTimes};
+pub use traits::{Cancellation, Carrier, Front, SendGate};
--- a/crates/runtime/src/serve.rs
+++ b/crates/runtime/src/serve.rs
@@ -1,10 +1,12 @@
 //! The loop: what happens goes in by one queue, and what the engine wants done goes out to the seams.
 
 use crate::clock::Clock;
-use crate::seams::{CallOff, Carrier, Front, Gate};
+use crate::traits::{Cancellation, Carrier, Front, SendGate};
 use linenhall::Outcome;
-use mulleinslip_engine::journal::Left;
-use mulleinslip_engine::{Alive, Attempt, Ended, Engine, Held, Input, Message, Output, Store};
+use mulleinslip_engine::journal::RecoveredState;
+use mulleinslip_engine::{
+    Attempt, AttemptBlocked, AttemptEnd, Engine, Input, Message, Output, Predecessor, Store,
+};
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -21,16 +23,16 @@
 enum Happened<T, C: Carrier> {
     Input(Input<T, C::Response>),
     List(C::List),
-    Stop(StopTimes),
+    Stop(ShutdownTimes),
     CallOff(u64, u32),
     Release(oneshot::Sender<Vec<(u64, u32)>>),
     Retake,
-    Pass(UnboundedSender<EndedHere<C::Response>>),
+    Pass(UnboundedSender<ForwardedEnd<C::Response>>),
 }
 
 /// An attempt of which another process has the message has ended here.
 #[derive(Debug)]
-pub struct EndedHere<R> {
+pub struct ForwardedEnd<R> {
     /// The message.
     pub id: u64,
     /// The attempt.
@@ -38,7 +40,7 @@
     /// Since it was asked for, in milliseconds.
     pub took_ms: f64,
     /// How.
-    pub end: Ended<R>,
+    pub end: AttemptEnd<R>,
 }
 
 /// Whether what was taken on is this process's matter.
@@ -53,7 +55,7 @@
     /// It has all but these attempts, whose ends it is told.
     Passed {
         out: HashSet<(u64, u32)>,
-        tell: UnboundedSender<EndedHere<R>>,
+        tell: UnboundedSender<ForwardedEnd<R>>,
     },
 }
 
@@ -69,8 +71,8 @@
 
 impl<T, C: Carrier> Handle<T, C> {
     /// Hands a message in. `false` if the engine is gone, and the ticket with it.
-    pub fn hand_in(&self, message: Box<Message>, ticket: T) -> bool {
-        self.put(Happened::Input(Input::Handed(message, ticket)))
+    pub fn submit(&self, message: Box<Message>, ticket: T) -> bool {
+        self.put(Happened::Input(Input::Submitted(message, ticket)))
     }
 
     /// Nobody waits for this message any more.
@@ -80,7 +82,7 @@
 
     /// These final answers have reached whom they concern.
     pub fn confirm(&self, ids: Vec<u64>) -> bool {
-        self.put(Happened::Input(Input::Confirmed(ids)))
+        self.put(Happened::Input(Input::AnswersConfirmed(ids)))
     }
 
     /// News of the list.
@@ -88,19 +90,19 @@
         self.put(Happened::List(list))
     }
 
-    /// Takes on nothing more and ends, see [`StopTimes`].
-    pub fn stop(&self, times: StopTimes) -> bool {
+    /// Takes on nothing more and ends, see [`ShutdownTimes`].
+    pub fn stop(&self, times: ShutdownTimes) -> bool {
         self.put(Happened::Stop(times))
     }
 
-    /// An attempt has ended that an earlier process made, see [`mulleinslip_engine::Alive`].
-    pub fn ended(&self, ended: EndedHere<C::Response>) -> bool {
-        let EndedHere { id, attempt, took_ms, end } = ended;
+    /// An attempt has ended that an earlier process made, see [`mulleinslip_engine::Predecessor`].
+    pub fn ended(&self, ended: ForwardedEnd<C::Response>) -> bool {
+        let ForwardedEnd { id, attempt, took_ms, end } = ended;
         self.put(Happened::Input(Input::Ended { id, attempt, took_ms, end }))
     }
 
     /// Nobody waits for this attempt any more, of which another process has the message.
-    pub fn call_off(&self, id: u64, attempt: u32) -> bool {
+    pub fn cancel(&self, id: u64, attempt: u32) -> bool {
         self.put(Happened::CallOff(id, attempt))
     }
 
@@ -119,7 +121,7 @@
 
     /// Another process has gone on: it is told the ends of the attempts that are still out. With the last, this
     /// process is done.
-    pub fn pass(&self, tell: UnboundedSender<EndedHere<C::Response>>) -> bool {
+    pub fn pass(&self, tell: UnboundedSender<ForwardedEnd<C::Response>>) -> bool {
         self.put(Happened::Pass(tell))
     }
 
@@ -133,7 +135,7 @@
 
 /// The course of a stop, in milliseconds from its beginning.
 #[derive(Clone, Copy, Debug)]
-pub struct StopTimes {
+pub struct ShutdownTimes {
     /// No attempt is begun that may be out at this time.
     pub calls_end_ms: f64,
     /// It lasts so long even if nothing is owed, as whoever hands in may not know of it yet.
@@ -153,7 +155,7 @@
     /// What calls attempts off that are out.
     out: HashMap<(u64, u32), oneshot::Sender<()>>,
     /// Since when, and how long it may last.
-    stopping: Option<(f64, StopTimes)>,
+    stopping: Option<(f64, ShutdownTimes)>,
     tenure: Tenure<Happened<T, C>, C::Response>,
     /// Calls attempts off that another process makes.
     elsewhere: Option<Box<dyn Fn(u64, u32)>>,
@@ -178,8 +180,8 @@
     }
 
     /// An earlier process makes attempts to their end: this calls one off, by message and number.
-    pub fn calls_off_elsewhere(&mut self, call_off: impl Fn(u64, u32) + 'static) {
-        self.elsewhere = Some(Box::new(call_off));
+    pub fn cancel_elsewhere(&mut self, cancel: impl Fn(u64, u32) + 'static) {
+        self.elsewhere = Some(Box::new(cancel));
     }
 
     /// The engine, to be looked at between its rounds: on its own thread, and not across an `await`.
@@ -188,10 +190,10 @@
     }
 
     /// Goes on with what an earlier process left. Before [`Runtime::run`].
-    pub fn restore(&mut self, lists: Vec<C::List>, left: Left, alive: &Alive) {
-        let of_left = left.kept.iter().filter_map(|kept| self.carrier.enlist(kept.taken.dest));
+    pub fn restore(&mut self, lists: Vec<C::List>, left: RecoveredState, alive: &Predecessor) {
+        let of_left = left.messages.iter().filter_map(|kept| self.carrier.activate(kept.message.dest));
         let lists: Vec<_> = lists.into_iter().chain(of_left).collect();
-        let lists = lists.into_iter().map(|l| self.carrier.learn(l)).collect();
+        let lists = lists.into_iter().map(|l| self.carrier.apply_list(l)).collect();
         let mut wanted = Vec::new();
         self.engine.borrow_mut().restore(self.clock.now(), lists, left, alive, &mut wanted);
         self.act(wanted);
@@ -243,7 +245,7 @@
             match happened {
                 Happened::Input(input) => self.sort(input, &mut inputs),
                 Happened::List(list) if self.is_ours() => {
-                    inputs.push(Input::Listed(self.carrier.learn(list)));
+                    inputs.push(Input::ListUpdate(self.carrier.apply_list(list)));
                 }
                 Happened::List(_) => {}
                 Happened::Stop(times) => {
@@ -251,7 +253,7 @@
                     self.stopping = Some((now, times));
                     inputs.push(Input::Stop { calls_end_at: now + times.calls_end_ms });
                 }
-                Happened::CallOff(id, attempt) => self.call_off(id, attempt),
+                Happened::CallOff(id, attempt) => self.cancel(id, attempt),
                 Happened::Release(told) => {
                     // Whoever has handed in is answered here: what is in the queue goes first.
                     self.round(std::mem::take(&mut inputs));
@@ -294,12 +296,12 @@
     /// Who hears of an input: the engine, or whoever has the message.
     fn sort(&mut self, input: Input<T, C::Response>, inputs: &mut Vec<Input<T, C::Response>>) {
         match input {
-            Input::Handed(_, ticket) if !self.front.waits(&ticket) => {}
-            Input::Handed(message, ticket) if self.is_ours() => {
-                if let Some(list) = self.carrier.enlist(message.destination) {
-                    inputs.push(Input::Listed(self.carrier.learn(list)));
+            Input::Submitted(_, ticket) if !self.front.waits(&ticket) => {}
+            Input::Submitted(message, ticket) if self.is_ours() => {
+                if let Some(list) = self.carrier.activate(message.destination) {
+                    inputs.push(Input::ListUpdate(self.carrier.apply_list(list)));
                 }
-                inputs.push(Input::Handed(message, ticket));
+                inputs.push(Input::Submitted(message, ticket));
             }
             // Fronts hand nothing in any more, and what they have is told to the other process as well.
             Input::Ended { id, attempt, took_ms, end } => {
@@ -307,7 +309,7 @@
                 if self.is_ours() {
                     inputs.push(Input::Ended { id, attempt, took_ms, end });
                 } else {
-                    self.ended_here(EndedHere { id, attempt, took_ms, end });
+                    self.ended_here(ForwardedEnd { id, attempt, took_ms, end });
                 }
             }
             _ if !self.is_ours() => {}
@@ -319,7 +321,7 @@
         }
     }
 
-    fn ended_here(&mut self, end: EndedHere<C::Response>) {
+    fn ended_here(&mut self, end: ForwardedEnd<C::Response>) {
         // One that had not begun was never out to whoever has its message.
         if let Tenure::Passed { out, tell } = &mut self.tenure {
             if out.remove(&(end.id, end.attempt)) {
@@ -339,7 +341,7 @@
         self.carrier.forget(&mut |destination| self.engine.borrow_mut().forget(now, destination));
     }
 
-    fn call_off(&mut self, id: u64, attempt: u32) {
+    fn cancel(&mut self, id: u64, attempt: u32) {
         match (self.out.remove(&(id, attempt)), &self.elsewhere) {
             (Some(off), _) => {
                 let _ended_already = off.send(());
@@ -352,9 +354,9 @@
     fn act(&mut self, wanted: Vec<Output<T, C::Response>>) {
         for output in wanted {
             match output {
-                Output::Told(told) => self.front.told(told),
+                Output::Reply(told) => self.front.reply(told),
                 Output::Attempt(attempt) => self.attempt(attempt),
-                Output::CallOff { id, attempt } => self.call_off(id, attempt),
+                Output::CancelAttempt { id, attempt } => self.cancel(id, attempt),
                 Output::Probe { endpoint } => self.probe(endpoint),
                 Output::CloseIdle { endpoint } => self.carrier.close_idle(&endpoint),
                 Output::Log(words) => (self.log)(&words),
@@ -375,7 +377,7 @@
         };
         tokio::task::spawn_local(async move {
             let gate = At { engine, clock, log, attempt: &attempt };
-            ending.with(carrier.attempt(&attempt, &gate, CallOff(wanted)).await);
+            ending.with(carrier.attempt(&attempt, &gate, Cancellation(wanted)).await);
         });
     }
 
@@ -418,11 +420,11 @@
     handle: Handle<T, C>,
     of: (u64, u32),
     began: Instant,
-    end: Option<Ended<C::Response>>,
+    end: Option<AttemptEnd<C::Response>>,
 }
 
 impl<T, C: Carrier> Ending<T, C> {
-    fn with(mut self, end: Ended<C::Response>) {
+    fn with(mut self, end: AttemptEnd<C::Response>) {
         self.end = Some(end);
     }
 }
@@ -431,7 +433,7 @@
     fn drop(&mut self) {
         let (id, attempt) = self.of;
         let took_ms = self.began.elapsed().as_secs_f64() * 1000.0;
-        let end = self.end.take().unwrap_or_else(|| Ended::bare(Outcome::Broken));
+        let end = self.end.take().unwrap_or_else(|| AttemptEnd::without_response(Outcome::Broken));
         self.handle.put(Happened::Input(Input::Ended { id, attempt, took_ms, end }));
     }
 }
@@ -444,11 +446,11 @@
     attempt: &'a Attempt,
 }
 
-impl<S: Store, R> Gate for At<'_, S, R> {
+impl<S: Store, R> SendGate for At<'_, S, R> {
     fn begin(&self) -> bool {
         let Attempt { id, attempt, endpoint, .. } = self.attempt;
         let begun = self.engine.borrow_mut().begin(self.clock.now(), *id, *attempt, endpoint);
-        if let Err(why @ Held::NotKept(_)) = &begun {
+        if let Err(why @ AttemptBlocked::NotStored(_)) = &begun {
             (self.log)(&why.to_string());
         }
         begun.is_ok()
--- a/crates/runtime/src/seams.rs
+++ b/crates/runtime/src/traits.rs
@@ -1,7 +1,7 @@
 //! What stands on both sides of the engine.
 
-use linenhall::{Discovery, Outcome};
-use mulleinslip_engine::{Attempt, Ended, Told};
+use linenhall::{ListUpdate, Outcome};
+use mulleinslip_engine::{Attempt, AttemptEnd, FrontReply};
 use std::future::Future;
 use tokio::sync::oneshot;
 
@@ -9,7 +9,7 @@
 /// along with a message, `R` what the carrier brings back.
 pub trait Front<T, R> {
     /// Called on the engine's thread, in the order of events; it must not block.
-    fn told(&mut self, told: Told<T, R>);
+    fn reply(&mut self, told: FrontReply<T, R>);
 
     /// Whether whoever handed a message in, not yet taken on, still waits for an answer. If not, it is dropped.
     fn waits(&self, _ticket: &T) -> bool {
@@ -21,7 +21,7 @@
 }
 
 /// To be passed before an attempt's first byte.
-pub trait Gate {
+pub trait SendGate {
     /// Records that the attempt begins, and looks whether it may yet. If it gives `false`, nothing may be sent, and the
     /// attempt ends as [`Outcome::NotSent`]. Asked again before each connection that it is tried on.
     fn begin(&self) -> bool;
@@ -29,11 +29,11 @@
 
 /// Whether an attempt is called off.
 #[derive(Debug)]
-pub struct CallOff(pub(crate) oneshot::Receiver<()>);
+pub struct Cancellation(pub(crate) oneshot::Receiver<()>);
 
-impl CallOff {
+impl Cancellation {
     /// Ready once nobody waits for the attempt any more; else never.
-    pub async fn wanted(&mut self) {
+    pub async fn requested(&mut self) {
         if (&mut self.0).await.is_err() {
             std::future::pending().await
         }
@@ -48,10 +48,10 @@
     type List: 'static;
 
     /// Takes a list over before the module hears of it.
-    fn learn(&self, list: Self::List) -> Discovery;
+    fn apply_list(&self, list: Self::List) -> ListUpdate;
 
     /// A message for this destination is about to be handed in: what is to be learnt of it first, where it was not in use.
-    fn enlist(&self, _destination: u64) -> Option<Self::List> {
+    fn activate(&self, _destination: u64) -> Option<Self::List> {
         None
     }
 
@@ -62,8 +62,8 @@
     /// Makes one attempt, within [`Attempt::wait_ms`]. If it is dropped, or panics, the attempt counts as one that
     /// may have run.
     fn attempt(
-        &self, attempt: &Attempt, gate: &dyn Gate, off: CallOff,
-    ) -> impl Future<Output = Ended<Self::Response>>;
+        &self, attempt: &Attempt, gate: &dyn SendGate, off: Cancellation,
+    ) -> impl Future<Output = AttemptEnd<Self::Response>>;
 
     /// Looks how an endpoint does: its outcome and load report.
     fn probe(&self, endpoint: &str) -> impl Future<Output = (Outcome, Vec<f64>)>;
