--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -1,8 +1,8 @@
 //! A relay without sockets: the real view, the carrier's tables, the engine and the decision module. Calls end as the world has it.
 
 use crate::world::World;
-use linenhall::{Class, Effect, Fade, Group, Outcome, Settings};
-use mulleinslip_engine::{Ended, Engine, Forgetful, Input, Message, Names, Output};
+use linenhall::{Class, DedupScope, Effect, Outcome, Settings, ValueDecay};
+use mulleinslip_engine::{AttemptEnd, Engine, Input, Message, Names, Output, VolatileStore};
 use mulleinslip_http::{CarrierSettings, HttpCarrier};
 use mulleinslip_membership::{List, ListNames, View};
 use mulleinslip_runtime::Carrier;
@@ -29,7 +29,7 @@
 pub struct Hollow {
     view: Rc<RefCell<View>>,
     carrier: HttpCarrier,
-    engine: Engine<Forgetful, ()>,
+    engine: Engine<VolatileStore, ()>,
     agent: SocketAddr,
     /// Calls that are out, by the time at which they end.
     out: BTreeMap<(u64, u64), (u64, u32, Outcome)>,
@@ -42,10 +42,10 @@
         aim_ms: 500.0,
         deadline_ms: DEADLINE_MS,
         effect: Effect::Safe,
-        group: Group::All,
-        window_ms: 4000.0,
-        worth: 1.0,
-        late_worth: 0.3,
+        dedup_scope: DedupScope::All,
+        dedup_window_ms: 4000.0,
+        value: 1.0,
+        late_value: 0.3,
         in_order: false,
     };
     Settings {
@@ -54,9 +54,9 @@
         max_open: 20_000,
         max_attempts: 6,
         classes: vec![class],
-        fade: Fade::Halves,
+        value_decay: ValueDecay::Halving,
         batch: vec![1],
-        apart: vec![false],
+        own_limits: vec![false],
         may_cancel: true,
         retry_after: true,
         max_retry_after_ms: 2000.0,
@@ -74,22 +74,22 @@
 
 impl Hollow {
     /// One that keeps so many destinations in use.
-    pub fn new(most_used: usize, seed: u64) -> Hollow {
-        let view = Rc::new(RefCell::new(View::new(Vec::new(), most_used)));
+    pub fn new(max_active_destinations: usize, seed: u64) -> Hollow {
+        let view = Rc::new(RefCell::new(View::new(Vec::new(), max_active_destinations)));
         let names = ListNames { zones: Vec::new(), kinds: vec!["m2".into()] };
         let carrier = HttpCarrier::new(
             CarrierSettings {
-                most_open: 400,
+                max_open: 400,
                 connect_timeout: Duration::from_millis(500),
                 conn_idle_ms: 3000.0,
                 names,
-                apart: vec![false],
+                own_limits: vec![false],
                 report_columns: Vec::new(),
             },
             view.clone(),
         );
         let names = Names { classes: vec!["safe".into()], tenants: Vec::new() };
-        let engine = Engine::new(settings(), seed, names, Forgetful);
+        let engine = Engine::new(settings(), seed, names, VolatileStore);
         let agent = SocketAddr::from(([127, 0, 0, 1], 1));
         Hollow { view, carrier, engine, agent, out: BTreeMap::new(), next: 0, counts: Counts::default() }
     }
@@ -106,11 +106,11 @@
 
     /// An agent tells something.
     pub fn told(&mut self, now: f64, list: List, world: &World) {
-        let told = self.view.borrow_mut().told(self.agent, list, now);
+        let told = self.view.borrow_mut().apply(self.agent, list, now);
         if let Some(told) = told {
-            self.carrier.leave(&told.list);
-            let news = self.carrier.learn(told.list);
-            self.round(now, vec![Input::Listed(news)], world);
+            self.carrier.stop_sending_to_drained(&told.list);
+            let news = self.carrier.apply_list(told.list);
+            self.round(now, vec![Input::ListUpdate(news)], world);
         }
     }
 
@@ -118,9 +118,9 @@
     pub fn message(&mut self, now: f64, destination: u64, world: &World) {
         self.counts.messages += 1;
         let mut inputs = Vec::with_capacity(2);
-        if let Some(list) = self.carrier.enlist(destination) {
+        if let Some(list) = self.carrier.activate(destination) {
             self.counts.enlisted += 1;
-            inputs.push(Input::Listed(self.carrier.learn(list)));
+            inputs.push(Input::ListUpdate(self.carrier.apply_list(list)));
         }
         let message = Message {
             call_id: format!("{:016x}", self.counts.messages),
@@ -132,7 +132,7 @@
             idempotency_key: None,
             body: Default::default(),
         };
-        inputs.push(Input::Handed(Box::new(message), ()));
+        inputs.push(Input::Submitted(Box::new(message), ()));
         self.round(now, inputs, world);
     }
 
@@ -145,7 +145,7 @@
                 break;
             }
             let settled = outcome == Outcome::Delivered;
-            let end = Ended { settled, ..Ended::bare(outcome) };
+            let end = AttemptEnd { settled, ..AttemptEnd::without_response(outcome) };
             let took_ms = if settled { TOOK_MS.0 } else { TOOK_MS.1 };
             self.counts.lost += u64::from(!settled);
             self.round(ends, vec![Input::Ended { id, attempt, took_ms, end }], world);
@@ -174,13 +174,13 @@
                     let ends = ((now + took) * 1000.0) as u64;
                     self.out.insert((ends, self.next), (a.id, a.attempt, outcome));
                 }
-                Output::Told(mulleinslip_engine::Told::Final { id, .. }) => confirmed.push(id),
+                Output::Reply(mulleinslip_engine::FrontReply::Final { id, .. }) => confirmed.push(id),
                 _ => {}
             }
         }
         if !confirmed.is_empty() {
             let mut more: Vec<Output<(), ()>> = Vec::new();
-            self.engine.handle(now, [Input::Confirmed(confirmed)], &mut more);
+            self.engine.handle(now, [Input::AnswersConfirmed(confirmed)], &mut more);
         }
         let engine = RefCell::new(&mut self.engine);
         self.carrier.forget(&mut |destination| engine.borrow_mut().forget(now, destination));
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -69,11 +69,11 @@
         world.whole(None).endpoints.into_iter().map(|e| (e.name.clone(), e)).collect();
     let plain_bytes = heap().saturating_sub(before) as f64;
     drop(plain);
-    let most_used = ((plan.memory_mb * 1e6 / USED_BYTES) as usize).max(1024);
+    let max_active_destinations = ((plan.memory_mb * 1e6 / USED_BYTES) as usize).max(1024);
     let count = plan.hollow as f64;
     let before = heap();
     let mut relays: Vec<Hollow> =
-        (0..plan.hollow).map(|n| Hollow::new(most_used, plan.seed + n as u64)).collect();
+        (0..plan.hollow).map(|n| Hollow::new(max_active_destinations, plan.seed + n as u64)).collect();
     let (mut start_s, mut now) = (0.0, 1000.0);
     for relay in &mut relays {
         let began = Instant::now();
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,11 +6,11 @@
 
 use linenhall::{Class, Settings};
 use serde::Deserialize;
-use words::{DISCOVERY, EFFECTS, FADES, GROUPS, WEIGHTS};
+use words::{DEDUP_SCOPES, DISCOVERY, EFFECTS, VALUE_DECAYS, WEIGHTS};
 
 /// What the settings say, checked.
 #[derive(Clone, Debug)]
-pub struct Read {
+pub struct ParsedSettings {
     /// For the module.
     pub settings: Settings,
     /// Names of the classes, by index.
@@ -26,7 +26,7 @@
     /// Columns of a load report, in the order in which the module reads them.
     pub report_columns: Vec<String>,
     /// The list is not pushed but asked for, and each call costs discovery something.
-    pub list_is_asked_for: bool,
+    pub discovery_is_polled: bool,
 }
 
 /// The settings as they stand in the file. [`FileSettings::read`] checks them.
@@ -150,22 +150,22 @@
         aim_ms: c.aim_ms,
         deadline_ms: c.deadline_ms,
         effect: word("Profiles.Effect", Some(&c.effect), &EFFECTS)?,
-        group: word("Profiles.Group", c.group.as_deref(), &GROUPS)?,
-        window_ms: c.dedup_window_ms,
-        worth: c.points,
-        late_worth: c.late_value,
+        dedup_scope: word("Profiles.Group", c.group.as_deref(), &DEDUP_SCOPES)?,
+        dedup_window_ms: c.dedup_window_ms,
+        value: c.points,
+        late_value: c.late_value,
         in_order: c.serial_by_key,
     })
 }
 
 impl FileSettings {
     /// Checks them. The error is one line that names the setting.
-    pub fn read(&self) -> Result<Read, String> {
+    pub fn read(&self) -> Result<ParsedSettings, String> {
         let millis = self.limits.connect_timeout_ms;
         if !(millis > 0.0 && millis < 1e9) {
             return Err(format!("setting Limits.ConnectTimeoutMs cannot be read: {millis}"));
         }
-        Ok(Read {
+        Ok(ParsedSettings {
             settings: settings(self)?,
             classes: self.profiles.iter().map(|p| p.name.clone()).collect(),
             tenants: self.orgs.iter().map(|o| o.name.clone()).collect(),
@@ -173,7 +173,7 @@
             kinds: self.machine_types.clone(),
             connect_timeout_ms: millis,
             report_columns: self.load_report.columns.clone(),
-            list_is_asked_for: word("Discovery", self.discovery.as_deref(), &DISCOVERY)?,
+            discovery_is_polled: word("Discovery", self.discovery.as_deref(), &DISCOVERY)?,
         })
     }
 }
@@ -194,23 +194,23 @@
         max_attempts: s.limits.max_attempts,
         classes: s.profiles.iter().map(class).collect::<Result<_, _>>()?,
         tenant_rates: s.orgs.iter().map(|o| o.quota_rps).collect(),
-        over_share_worth: s.over_share_worth.unwrap_or(1.0),
-        fade: word("Domain.Fades", s.domain.fades.as_deref(), &FADES)?,
+        over_share_value: s.over_share_worth.unwrap_or(1.0),
+        value_decay: word("Domain.Fades", s.domain.fades.as_deref(), &VALUE_DECAYS)?,
         // One call carries one message on these sockets, whatever the simulator's calls may carry.
         batch: s.domain.batch_by_kind.iter().map(|_| 1).collect(),
-        apart: s.domain.own_limits.clone(),
+        own_limits: s.domain.own_limits.clone(),
         route_fee: s.domain.route_fee.clone(),
         cross_zone_cost: s.costs.cross_zone,
         handshake_cost: s.costs.handshake,
-        weights: word("Weights", s.weights.as_deref(), &WEIGHTS)?,
-        left_column: column("x0"),
+        weight_meaning: word("Weights", s.weights.as_deref(), &WEIGHTS)?,
+        remaining_column: column("x0"),
         limit_column: column("x1"),
         // The watch is discovery.rs's own; the module never has to ask.
-        ask_discovery: false,
+        poll_discovery: false,
         may_cancel: s.limits.cancel,
         may_probe: s.limits.probing,
-        ends_told: false,
-        second_copies: s.limits.second_copies,
+        confirms_answers: false,
+        hedging: s.limits.second_copies,
         retry_after: s.limits.retry_after,
         max_retry_after_ms: s.limits.max_retry_after_ms,
         conn_idle_ms: s.limits.conn_idle_ms,
--- a/crates/takeover/src/channel.rs
+++ b/crates/takeover/src/channel.rs
@@ -1,7 +1,7 @@
 //! Frames with descriptors over a Unix socket that keeps them apart (`SOCK_SEQPACKET`): a frame comes whole or not
 //! at all, with the descriptor that belongs to it.
 
-use crate::message::MOST_FRAME;
+use crate::message::MAX_FRAME_BYTES;
 use rustix::net::{
     self, AddressFamily, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags, SocketAddrUnix, SocketFlags, SocketType,
@@ -37,14 +37,14 @@
 }
 
 /// Where a new process asks. The folder must be this process's: an older socket is replaced.
-pub struct Door(UnixListener);
+pub struct TakeoverListener(UnixListener);
 
-impl Door {
+impl TakeoverListener {
     /// Opens it. On a runtime.
     ///
     /// # Errors
     /// What the sockets give.
-    pub fn open(folder: &Path) -> io::Result<Door> {
+    pub fn open(folder: &Path) -> io::Result<TakeoverListener> {
         match std::fs::remove_file(folder.join(NAME)) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
             _ => {}
@@ -53,7 +53,7 @@
         let socket = socket()?;
         net::bind(&socket, &address)?;
         net::listen(&socket, BACKLOG)?;
-        Ok(Door(UnixListener::from_std(std::os::unix::net::UnixListener::from(socket))?))
+        Ok(TakeoverListener(UnixListener::from_std(std::os::unix::net::UnixListener::from(socket))?))
     }
 
     /// The next one that asks.
@@ -87,7 +87,7 @@
     /// What the socket gives; the other process is gone.
     pub async fn send(&self, frame: &impl Serialize, with: Option<BorrowedFd<'_>>) -> io::Result<()> {
         let bytes = postcard::to_stdvec(frame).map_err(io::Error::other)?;
-        if bytes.len() > MOST_FRAME {
+        if bytes.len() > MAX_FRAME_BYTES {
             return Err(io::Error::other("a frame is too long"));
         }
         let send = || {
@@ -108,7 +108,7 @@
     /// # Errors
     /// What the socket gives, and a frame that can't be read.
     pub async fn receive<T: DeserializeOwned>(&self) -> io::Result<Option<(T, Option<OwnedFd>)>> {
-        let mut bytes = vec![0; MOST_FRAME];
+        let mut bytes = vec![0; MAX_FRAME_BYTES];
         let receive = || {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
--- a/crates/takeover/src/message.rs
+++ b/crates/takeover/src/message.rs
@@ -15,7 +15,7 @@
 /// Hosts in a part of the list at most: names are short, but nobody says how short.
 pub const LIST_ROWS: usize = 64;
 /// The longest frame: a client's request that is not answered, or [`ROWS`] rows. A socket's buffer holds more.
-pub const MOST_FRAME: usize = 160 * 1024;
+pub const MAX_FRAME_BYTES: usize = 160 * 1024;
 /// Rows in one frame at most; a wait takes some 40 bytes and a name.
 pub const ROWS: usize = 256;
 
@@ -28,9 +28,9 @@
         version: u16,
     },
     /// It has the folder and has read it.
-    Taken,
+    FolderOpened,
     /// Nobody waits for this attempt any more.
-    CallOff {
+    CancelAttempt {
         /// The message.
         id: u64,
         /// The attempt.
@@ -42,11 +42,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToNew {
     /// It can't be asked: another version, or it is ending already.
-    No(String),
+    Rejected(String),
     /// Attempts that are out: message and number.
-    Out(Vec<(u64, u32)>),
+    AttemptsInFlight(Vec<(u64, u32)>),
     /// Waits: destination, endpoint or nothing, and for how many milliseconds more.
-    Waits(Vec<(u64, String, f64)>),
+    RetryAfters(Vec<(u64, String, f64)>),
     /// That was all, and the folder is free. With the listener.
     Ready {
         /// Clients are being sent elsewhere.
@@ -60,7 +60,7 @@
         unread: Vec<u8>,
     },
     /// An attempt that was out has ended.
-    Ended(Ended),
+    Ended(AttemptEnd),
     /// A part of what it has learnt, as JSON: versions may differ in what they learn. Before [`ToNew::Ready`].
     Learnt(String),
     /// A part of the list of hosts as it has it, as JSON, and the agent that told it: with discovery silent the new process
@@ -83,7 +83,7 @@
 
 /// How an attempt ended that the old process made.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ended {
+pub struct AttemptEnd {
     /// The message.
     pub id: u64,
     /// The attempt.
@@ -91,13 +91,13 @@
     /// Since it was asked for, in milliseconds.
     pub took_ms: f64,
     /// What it came to.
-    #[serde(with = "Came")]
+    #[serde(with = "WireOutcome")]
     pub outcome: Outcome,
     /// The message is over.
     pub settled: bool,
     /// Whether something came back.
     pub answered: bool,
-    /// A wait that was told, in milliseconds; [`ToNew::Waits`] has gone ahead of it.
+    /// A wait that was told, in milliseconds; [`ToNew::RetryAfters`] has gone ahead of it.
     pub wait_ms: f64,
     /// A load report, empty if there is none.
     pub report: Vec<f64>,
@@ -106,7 +106,7 @@
 /// [`Outcome`], as it stands in a frame.
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "Outcome")]
-enum Came {
+enum WireOutcome {
     Delivered,
     Error,
     Full,
--- a/crates/takeover/tests/recorded.rs
+++ b/crates/takeover/tests/recorded.rs
@@ -1,7 +1,7 @@
 //! Guards against changes of the stored form: a relay reads what an earlier version wrote, and versions run beside
 //! each other during a takeover.
 use linenhall::Outcome;
-use mulleinslip_takeover::message::{Ended, ToNew, ToOld};
+use mulleinslip_takeover::message::{AttemptEnd, ToNew, ToOld};
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 
@@ -11,8 +11,8 @@
 fn to_old() -> Vec<(&'static str, ToOld)> {
     vec![
         ("ToOld.Ask", ToOld::Ask { version: 2 }),
-        ("ToOld.Taken", ToOld::Taken),
-        ("ToOld.CallOff", ToOld::CallOff { id: 300, attempt: 5 }),
+        ("ToOld.Taken", ToOld::FolderOpened),
+        ("ToOld.CallOff", ToOld::CancelAttempt { id: 300, attempt: 5 }),
     ]
 }
 
@@ -21,12 +21,12 @@
     let ended = |outcome| {
         let (id, attempt, took_ms, settled, answered) = (301, 6, 21.5, true, false);
         let (wait_ms, report) = (1500.25, vec![0.5, 50.75]);
-        ToNew::Ended(Ended { id, attempt, took_ms, outcome, settled, answered, wait_ms, report })
+        ToNew::Ended(AttemptEnd { id, attempt, took_ms, outcome, settled, answered, wait_ms, report })
     };
     vec![
-        ("ToNew.No", ToNew::No("not now".into())),
-        ("ToNew.Out", ToNew::Out(vec![(7, 0), (300, 2)])),
-        ("ToNew.Waits", ToNew::Waits(vec![(41, "h1".into(), 250.5), (42, String::new(), 9.75)])),
+        ("ToNew.No", ToNew::Rejected("not now".into())),
+        ("ToNew.Out", ToNew::AttemptsInFlight(vec![(7, 0), (300, 2)])),
+        ("ToNew.Waits", ToNew::RetryAfters(vec![(41, "h1".into(), 250.5), (42, String::new(), 9.75)])),
         ("ToNew.Ready", ToNew::Ready { drained: true }),
         ("ToNew.Go", ToNew::Go),
         ("ToNew.Client", ToNew::Client { unread: b"POST /\x00\xff".to_vec() }),
--- a/crates/testkit/src/agent.rs
+++ b/crates/testkit/src/agent.rs
@@ -1,7 +1,7 @@
 //! Discovery's agent: serves the list, its watches and notices.
 
 use crate::host::{response, Host};
-use crate::wire::{hear, until};
+use crate::wire::{receive, until};
 use serde_json::{json, Value};
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -85,7 +85,7 @@
     }
 
     /// All watches that are open fall silent: their connections stay, and nothing comes on them any more.
-    pub fn hush(&self) {
+    pub fn silence(&self) {
         self.told.lock().unwrap().hushed += 1;
     }
 
@@ -121,7 +121,7 @@
 
     fn serve(&self, stream: TcpStream) {
         let mut reader = BufReader::new(stream);
-        while let Some(heard) = hear(&mut reader, 0) {
+        while let Some(heard) = receive(&mut reader, 0) {
             let answer = if heard.line.starts_with("POST /v1/outcomes") {
                 let mut told = self.told.lock().unwrap();
                 let text = String::from_utf8_lossy(&heard.body).into_owned();
--- a/crates/testkit/src/grpc.rs
+++ b/crates/testkit/src/grpc.rs
@@ -37,7 +37,7 @@
 
 /// A call as it came.
 #[derive(Clone, Debug)]
-pub struct GrpcHeard {
+pub struct GrpcReceived {
     /// When its message was whole.
     pub at: Instant,
     /// `/package.Service/Method`.
@@ -48,19 +48,19 @@
     pub body: Bytes,
 }
 
-type Script = dyn Fn(&GrpcHeard, usize) -> GrpcReply + Send + Sync;
+type Script = dyn Fn(&GrpcReceived, usize) -> GrpcReply + Send + Sync;
 
 /// Where it listens and what it heard.
 #[derive(Clone)]
 pub struct GrpcPartner {
     /// Its address.
     pub address: SocketAddr,
-    heard: Arc<Mutex<Vec<GrpcHeard>>>,
+    heard: Arc<Mutex<Vec<GrpcReceived>>>,
 }
 
 impl GrpcPartner {
     /// Answers each call by the script, which is told how many came before.
-    pub fn new(script: impl Fn(&GrpcHeard, usize) -> GrpcReply + Send + Sync + 'static) -> GrpcPartner {
+    pub fn new(script: impl Fn(&GrpcReceived, usize) -> GrpcReply + Send + Sync + 'static) -> GrpcPartner {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
         let partner = GrpcPartner { address: listener.local_addr().unwrap(), heard: Arc::default() };
@@ -79,7 +79,7 @@
     }
 
     /// All calls so far.
-    pub fn heard(&self) -> Vec<GrpcHeard> {
+    pub fn received(&self) -> Vec<GrpcReceived> {
         self.heard.lock().unwrap().clone()
     }
 
@@ -90,7 +90,7 @@
                 let (head, body) = request.into_parts();
                 let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
                 let path = head.uri.path().to_string();
-                let heard = GrpcHeard { at: Instant::now(), path, headers: head.headers, body };
+                let heard = GrpcReceived { at: Instant::now(), path, headers: head.headers, body };
                 let place = {
                     let mut all = this.heard.lock().unwrap();
                     all.push(heard.clone());
--- a/crates/testkit/src/host.rs
+++ b/crates/testkit/src/host.rs
@@ -1,6 +1,6 @@
 //! Hosts: listeners that give scripted replies to calls and note what they heard.
 
-use crate::wire::{hear, until, Heard};
+use crate::wire::{receive, until, ReceivedRequest};
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -28,13 +28,13 @@
     format!("HTTP/1.1 {status} x\r\n{headers}Content-Length: 0\r\n\r\n")
 }
 
-type Script = dyn Fn(&Heard, usize) -> Reply + Send + Sync;
+type Script = dyn Fn(&ReceivedRequest, usize) -> Reply + Send + Sync;
 
 /// A host: what it heard, and on how many connections.
 #[derive(Clone)]
 pub struct Host {
     pub address: SocketAddr,
-    heard: Arc<Mutex<Vec<Heard>>>,
+    heard: Arc<Mutex<Vec<ReceivedRequest>>>,
     pub conns: Arc<AtomicUsize>,
     /// Connections that it closed by itself.
     pub closed: Arc<AtomicUsize>,
@@ -44,13 +44,15 @@
 
 impl Host {
     /// A host that replies to a call, given how many came before it.
-    pub fn new(script: impl Fn(&Heard, usize) -> Reply + Send + Sync + 'static) -> Host {
+    pub fn new(script: impl Fn(&ReceivedRequest, usize) -> Reply + Send + Sync + 'static) -> Host {
         Host::on(TcpListener::bind("127.0.0.1:0").unwrap(), Duration::ZERO, script)
     }
 
     /// A host that takes no new connection for so long: its queue for them is full, and packets that open one are lost.
     /// Whoever lost one tries again a second later (RFC 6298, 2.1).
-    pub fn deaf(for_ms: u64, script: impl Fn(&Heard, usize) -> Reply + Send + Sync + 'static) -> Host {
+    pub fn unresponsive(
+        for_ms: u64, script: impl Fn(&ReceivedRequest, usize) -> Reply + Send + Sync + 'static,
+    ) -> Host {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(0).unwrap();
@@ -64,8 +66,8 @@
     }
 
     fn on(
-        listener: TcpListener, deaf: Duration,
-        script: impl Fn(&Heard, usize) -> Reply + Send + Sync + 'static,
+        listener: TcpListener, unresponsive: Duration,
+        script: impl Fn(&ReceivedRequest, usize) -> Reply + Send + Sync + 'static,
     ) -> Host {
         let host = Host {
             address: listener.local_addr().unwrap(),
@@ -76,7 +78,7 @@
         };
         let (this, script): (Host, Arc<Script>) = (host.clone(), Arc::new(script));
         std::thread::spawn(move || {
-            std::thread::sleep(deaf);
+            std::thread::sleep(unresponsive);
             for stream in listener.incoming().flatten() {
                 let (this, script) = (this.clone(), script.clone());
                 let conn = this.conns.fetch_add(1, Ordering::SeqCst);
@@ -97,7 +99,7 @@
 
     fn serve(&self, stream: TcpStream, conn: usize, script: &Script) {
         let mut reader = BufReader::new(stream);
-        while let Some(heard) = hear(&mut reader, conn) {
+        while let Some(heard) = receive(&mut reader, conn) {
             let place = {
                 let mut all = self.heard.lock().unwrap();
                 all.push(heard.clone());
@@ -138,7 +140,7 @@
         }
     }
 
-    pub fn heard(&self) -> Vec<Heard> {
+    pub fn received(&self) -> Vec<ReceivedRequest> {
         self.heard.lock().unwrap().clone()
     }
 
@@ -161,10 +163,10 @@
     }
 
     pub fn calls_of(&self, id: &str) -> usize {
-        self.heard().iter().filter(|h| h.id() == id).count()
+        self.received().iter().filter(|h| h.id() == id).count()
     }
 
-    pub fn wait_calls(&self, count: usize) -> Vec<Heard> {
-        until(&format!("{count} calls"), || Some(self.heard()).filter(|h| h.len() >= count))
+    pub fn wait_calls(&self, count: usize) -> Vec<ReceivedRequest> {
+        until(&format!("{count} calls"), || Some(self.received()).filter(|h| h.len() >= count))
     }
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -9,7 +9,7 @@
 pub use agent::Agent;
 pub use host::{response, Host, Reply};
 pub use relay::{call, command, config, Client, Program, Relay};
-pub use wire::{hear, until, Heard};
+pub use wire::{receive, until, ReceivedRequest};
 
 /// The program as built along with a test or benchmark of its package.
 #[macro_export]
--- a/crates/testkit/src/relay.rs
+++ b/crates/testkit/src/relay.rs
@@ -2,7 +2,7 @@
 
 use crate::agent::Agent;
 use crate::host::Host;
-use crate::wire::{hear, until, Heard, PATIENCE};
+use crate::wire::{receive, until, ReceivedRequest, WAIT_LIMIT};
 use serde_json::{json, Value};
 use std::borrow::Cow;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -48,7 +48,7 @@
 /// Calls a second address and gives the whole answer.
 pub fn call(address: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     stream.write_all(format!("{line}\n").as_bytes()).unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
@@ -204,18 +204,18 @@
     }
 
     /// Hands one message in on a connection of its own.
-    pub fn hand_in(&self, class: &str, id: &str, dest: u64) -> Heard {
-        self.client().hand_in(class, id, dest, 4000, b"body")
+    pub fn submit(&self, class: &str, id: &str, dest: u64) -> ReceivedRequest {
+        self.client().submit(class, id, dest, 4000, b"body")
     }
 
     /// The same, again and again, until the relay has the destination's host in its list and takes it on.
-    pub fn take_once_listed(&self, class: &str, id: &str, dest: u64) {
-        until("a listed destination", || (self.hand_in(class, id, dest).status() == 202).then_some(()));
+    pub fn submit_accepted_once_listed(&self, class: &str, id: &str, dest: u64) {
+        until("a listed destination", || (self.submit(class, id, dest).status() == 202).then_some(()));
     }
 
     /// The same, and it must be taken on.
     pub fn take(&self, class: &str, id: &str, dest: u64) {
-        assert_eq!(self.hand_in(class, id, dest).status(), 202, "{id} is taken on");
+        assert_eq!(self.submit(class, id, dest).status(), 202, "{id} is taken on");
     }
 }
 
@@ -237,12 +237,12 @@
         self.0.get_mut().write_all(bytes).unwrap();
     }
 
-    pub fn answer(&mut self) -> Option<Heard> {
-        self.0.get_mut().set_read_timeout(Some(PATIENCE)).unwrap();
-        hear(&mut self.0, 0)
+    pub fn answer(&mut self) -> Option<ReceivedRequest> {
+        self.0.get_mut().set_read_timeout(Some(WAIT_LIMIT)).unwrap();
+        receive(&mut self.0, 0)
     }
 
-    pub fn hand_in(&mut self, class: &str, id: &str, dest: u64, budget: u64, body: &[u8]) -> Heard {
+    pub fn submit(&mut self, class: &str, id: &str, dest: u64, budget: u64, body: &[u8]) -> ReceivedRequest {
         let head = format!(
             "POST /{class} HTTP/1.1\r\nHost: api.internal\r\nX-Call-Id: {id}\r\nX-Caller: acme\r\n\
              X-Budget: {budget}m\r\nIdempotency-Key: key-{id}\r\nContent-Length: {}\r\n\
@@ -258,9 +258,9 @@
     /// Hands in plain messages until one comes on a connection that carried another: the answer to that one,
     /// and to what came before it, has been read.
     pub fn wait_reuse(&self, relay: &Relay, dest: u64) {
-        let start = self.heard().len();
+        let start = self.received().len();
         until("a connection used again", || {
-            let before = self.heard().len();
+            let before = self.received().len();
             relay.take("safe", &format!("again-{before}"), dest);
             let calls = self.wait_calls(before + 1);
             let last = calls[before].conn;
--- a/crates/testkit/src/wire.rs
+++ b/crates/testkit/src/wire.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 /// What a condition may take to come true; far more than it should.
-pub const PATIENCE: Duration = Duration::from_secs(15);
+pub const WAIT_LIMIT: Duration = Duration::from_secs(15);
 
 /// Waits until something is there.
 pub fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
@@ -15,14 +15,14 @@
         if let Some(found) = look() {
             return found;
         }
-        assert!(start.elapsed() < PATIENCE, "never came: {what}");
+        assert!(start.elapsed() < WAIT_LIMIT, "never came: {what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
 /// A message as it stands on a socket: first line, headers by lower-case name, body.
 #[derive(Clone, Debug)]
-pub struct Heard {
+pub struct ReceivedRequest {
     pub at: Instant,
     pub line: String,
     pub headers: HashMap<String, String>,
@@ -31,7 +31,7 @@
     pub conn: usize,
 }
 
-impl Heard {
+impl ReceivedRequest {
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(&name.to_lowercase()).map_or("", |v| v.as_str())
     }
@@ -44,7 +44,7 @@
 }
 
 /// Reads one message off a stream. `None` once it has ended.
-pub fn hear(stream: &mut BufReader<TcpStream>, conn: usize) -> Option<Heard> {
+pub fn receive(stream: &mut BufReader<TcpStream>, conn: usize) -> Option<ReceivedRequest> {
     let mut line = String::new();
     stream.read_line(&mut line).ok().filter(|n| *n > 0)?;
     let mut headers = HashMap::new();
@@ -57,5 +57,5 @@
     let length = headers.get("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
     let mut body = vec![0; length];
     stream.read_exact(&mut body).ok()?;
-    Some(Heard { at: Instant::now(), line: line.trim_end().to_string(), headers, body, conn })
+    Some(ReceivedRequest { at: Instant::now(), line: line.trim_end().to_string(), headers, body, conn })
 }
--- a/crates/tower/src/builder.rs
+++ b/crates/tower/src/builder.rs
@@ -10,10 +10,10 @@
 use crate::protocol::Protocol;
 use http::Response;
 use linenhall::Settings;
-use mulleinslip_engine::journal::{Journal, Left};
-use mulleinslip_engine::{Engine, Forgetful, Message, Names, Store};
-use mulleinslip_http::{Calls, Discovery, List, ListNames};
-use mulleinslip_runtime::{Alive, Clock, Handle, Runtime, StopTimes};
+use mulleinslip_engine::journal::{Journal, RecoveredState};
+use mulleinslip_engine::{Engine, Message, Names, Store, VolatileStore};
+use mulleinslip_http::{Discovery, List, ListNames, PollCost};
+use mulleinslip_runtime::{Clock, Handle, Predecessor, Runtime, ShutdownTimes};
 use std::fmt;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -182,7 +182,7 @@
     /// The folder is in use or can't be read or written, or there is no thread for it.
     pub fn start<M: Connect>(mut self, connect: M) -> Result<(Client, Running), StartError> {
         match self.folder.take() {
-            None => self.run(connect, Forgetful, Left::default()),
+            None => self.run(connect, VolatileStore, RecoveredState::default()),
             Some((folder, most)) => {
                 let opened = Journal::open(folder.clone(), most);
                 let (journal, left) = opened.map_err(|e| StartError::Folder(folder, e))?;
@@ -193,7 +193,7 @@
     }
 
     fn run<M: Connect, S: Store + Send + 'static>(
-        self, connect: M, store: S, left: Left,
+        self, connect: M, store: S, left: RecoveredState,
     ) -> Result<(Client, Running), StartError> {
         type Queued<M> =
             (Handle<Ticket, TowerCarrier<M>>, mulleinslip_runtime::Queue<Ticket, TowerCarrier<M>>);
@@ -229,18 +229,18 @@
                 Ok(runtime) => runtime,
                 Err(e) => return drop(started.send(Err(e))),
             };
-            let apart = settings.apart.clone();
+            let own_limits = settings.own_limits.clone();
             let engine = Engine::new(settings, seed, names, store);
-            let carrier = Rc::new(TowerCarrier::new(connect, protocol, most_answer, apart));
+            let carrier = Rc::new(TowerCarrier::new(connect, protocol, most_answer, own_limits));
             let mut relay = Runtime::new(engine, carrier, front, clock, queue, log);
             let _starter_gone = started.send(Ok(()));
             let local = tokio::task::LocalSet::new();
             local.block_on(&runtime, async move {
-                relay.restore(vec![News::Whole(hosts)], left, &Alive::default());
+                relay.restore(vec![News::Whole(hosts)], left, &Predecessor::default());
                 if let Some((agent, names)) = discovery {
                     let (_stays, place) = watch::channel(agent);
                     let told = move |_, list: List| news.list(News::of(&list, &names));
-                    tokio::task::spawn_local(Discovery::new(agent, Calls::Free).watch(None, place, told));
+                    tokio::task::spawn_local(Discovery::new(agent, PollCost::Free).watch(None, place, told));
                 }
                 relay.run().await;
             });
@@ -263,8 +263,8 @@
 }
 
 impl<M: Connect> Queue for Handle<Ticket, TowerCarrier<M>> {
-    fn hand_in(&self, message: Box<Message>, ticket: Ticket) -> bool {
-        Handle::hand_in(self, message, ticket)
+    fn submit(&self, message: Box<Message>, ticket: Ticket) -> bool {
+        Handle::submit(self, message, ticket)
     }
     fn withdraw(&self, id: u64) {
         let _ended = Handle::withdraw(self, id);
@@ -275,7 +275,7 @@
 /// with [`Error::Stopped`]; with a folder, the next start carries them on.
 pub struct Running {
     endpoints: Endpoints,
-    stop: Box<dyn Fn(StopTimes) + Send + Sync>,
+    stop: Box<dyn Fn(ShutdownTimes) + Send + Sync>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -291,7 +291,7 @@
         let (start, ms) = (Instant::now(), within.as_secs_f64().min(1e6) * 1000.0);
         // A little before the deadline, so that an attempt's end is still recorded.
         let calls_end_ms = (ms - 100.0).max(ms * 0.9);
-        (self.stop)(StopTimes { calls_end_ms, linger_ms: 0.0, exit_ms: ms });
+        (self.stop)(ShutdownTimes { calls_end_ms, linger_ms: 0.0, exit_ms: ms });
         let ended = self.thread.take().is_none_or(|t| t.join().is_ok());
         ended && start.elapsed() < within
     }
@@ -300,7 +300,7 @@
 impl Drop for Running {
     fn drop(&mut self) {
         if let Some(thread) = self.thread.take() {
-            (self.stop)(StopTimes { calls_end_ms: 0.0, linger_ms: 0.0, exit_ms: 0.0 });
+            (self.stop)(ShutdownTimes { calls_end_ms: 0.0, linger_ms: 0.0, exit_ms: 0.0 });
             // The folder is free when this returns. It takes one turn of the engine's loop.
             let _panicked = thread.join();
         }
--- a/crates/tower/src/carrier.rs
+++ b/crates/tower/src/carrier.rs
@@ -6,10 +6,10 @@
 use crate::stored;
 use http::{Request, Response};
 use http_body::Body;
-use linenhall::{Discovery, Endpoint, Listed, Outcome};
-use mulleinslip_engine::{Attempt, Ended};
+use linenhall::{Endpoint, EndpointStatus, ListUpdate, Outcome};
+use mulleinslip_engine::{Attempt, AttemptEnd};
 use mulleinslip_http::{Entry, List, ListNames};
-use mulleinslip_runtime::{CallOff, Carrier, Gate};
+use mulleinslip_runtime::{Cancellation, Carrier, SendGate};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::error::Error;
@@ -75,7 +75,7 @@
                 zone: known.zone,
                 kind: known.kind,
                 weight: known.weight,
-                state: known.listed,
+                state: known.status,
             }
         };
         let hosts = list.endpoints.iter().map(host).collect();
@@ -92,35 +92,35 @@
 }
 
 /// What shares a told wait: a destination, or one host where hosts are routes apart.
-type Lane = (u64, Option<String>);
+type EndpointGroupKey = (u64, Option<String>);
 
 pub struct TowerCarrier<M: Connect> {
     connect: M,
     protocol: Protocol,
     most_answer: usize,
-    apart: Vec<bool>,
+    own_limits: Vec<bool>,
     hosts: RefCell<HashMap<String, Known<M::Service>>>,
     /// Told waits; one that is over goes when the next is told.
-    waits: RefCell<HashMap<Lane, Instant>>,
+    waits: RefCell<HashMap<EndpointGroupKey, Instant>>,
 }
 
 impl<M: Connect> TowerCarrier<M> {
-    pub fn new(connect: M, protocol: Protocol, most_answer: usize, apart: Vec<bool>) -> TowerCarrier<M> {
+    pub fn new(connect: M, protocol: Protocol, most_answer: usize, own_limits: Vec<bool>) -> TowerCarrier<M> {
         let (hosts, waits) = (RefCell::default(), RefCell::default());
-        TowerCarrier { connect, protocol, most_answer, apart, hosts, waits }
+        TowerCarrier { connect, protocol, most_answer, own_limits, hosts, waits }
     }
 
-    fn lane(&self, host: &Host) -> Lane {
-        let apart = self.apart.get(host.kind).copied().unwrap_or(false);
-        (host.destination, apart.then(|| host.name.clone()))
+    fn group(&self, host: &Host) -> EndpointGroupKey {
+        let own_limits = self.own_limits.get(host.kind).copied().unwrap_or(false);
+        (host.destination, own_limits.then(|| host.name.clone()))
     }
 
     /// Whether an attempt for this destination may be sent there now.
     fn may_send(&self, endpoint: &str, destination: u64) -> bool {
         let hosts = self.hosts.borrow();
         let Some(host) = hosts.get(endpoint).map(|k| &k.host) else { return false };
-        let here = host.state == Listed::Active && host.destination == destination;
-        here && self.waits.borrow().get(&self.lane(host)).is_none_or(|until| *until <= Instant::now())
+        let here = host.state == EndpointStatus::Active && host.destination == destination;
+        here && self.waits.borrow().get(&self.group(host)).is_none_or(|until| *until <= Instant::now())
     }
 
     /// The host's service, and where requests to it go.
@@ -132,37 +132,37 @@
     }
 
     async fn exchange(
-        &self, attempt: &Attempt, gate: &dyn Gate, begun: &Cell<bool>, wait: Duration,
-    ) -> Ended<Answer> {
+        &self, attempt: &Attempt, gate: &dyn SendGate, begun: &Cell<bool>, wait: Duration,
+    ) -> AttemptEnd<Answer> {
         let Some((mut service, host)) = self.service(&attempt.endpoint) else {
-            return Ended::bare(Outcome::NotSent);
+            return AttemptEnd::without_response(Outcome::NotSent);
         };
         if poll_fn(|cx| service.poll_ready(cx)).await.is_err() {
             // It may be of no use any more; the next attempt gets a new one.
             self.forget(&attempt.endpoint);
-            return Ended::bare(Outcome::NoConnection);
+            return AttemptEnd::without_response(Outcome::NoConnection);
         }
         let Some(mut request) = stored::decode(&attempt.body, &host.scheme, &host.authority) else {
-            return Ended::bare(Outcome::NotSent);
+            return AttemptEnd::without_response(Outcome::NotSent);
         };
         let key = attempt.idempotency_key.as_deref();
         self.protocol.prepare(&mut request, &attempt.call_id, key, attempt.attempt, wait);
         // While it became ready, the host may have begun to leave, or a wait may have been told.
         if !self.may_send(&attempt.endpoint, attempt.destination) || !gate.begin() {
-            return Ended::bare(Outcome::NotSent);
+            return AttemptEnd::without_response(Outcome::NotSent);
         }
         begun.set(true);
         let answer = match service.call(request).await {
             Ok(answer) => answer,
             Err(e) => {
                 let e: Box<dyn Error + Send + Sync> = e.into();
-                return Ended::bare(self.protocol.broke(&*e));
+                return AttemptEnd::without_response(self.protocol.broke(&*e));
             }
         };
         let (head, body) = answer.into_parts();
         let body = match collect(body, self.most_answer).await {
             Ok(body) => body,
-            Err(NotWhole::TooLong | NotWhole::Broken) => return Ended::bare(Outcome::Error),
+            Err(NotWhole::TooLong | NotWhole::Broken) => return AttemptEnd::without_response(Outcome::Error),
         };
         let answer = Response::from_parts(head, body);
         let meaning = self.protocol.read(&answer);
@@ -170,10 +170,10 @@
             let (now, wait) = (Instant::now(), Duration::from_secs_f64(meaning.wait_ms / 1000.0));
             let mut waits = self.waits.borrow_mut();
             waits.retain(|_, until| *until > now);
-            let until = waits.entry(self.lane(&host)).or_insert(now);
+            let until = waits.entry(self.group(&host)).or_insert(now);
             *until = (*until).max(now + wait);
         }
-        Ended {
+        AttemptEnd {
             outcome: meaning.outcome,
             settled: meaning.settled,
             wait_ms: meaning.wait_ms,
@@ -196,7 +196,7 @@
     type Response = Answer;
     type List = News;
 
-    fn learn(&self, news: News) -> Discovery {
+    fn apply_list(&self, news: News) -> ListUpdate {
         let mut hosts = self.hosts.borrow_mut();
         let (list, whole) = match news {
             News::Whole(list) => (list, true),
@@ -208,7 +208,7 @@
         }
         let endpoints = list.iter().map(Host::endpoint).collect::<Vec<Endpoint>>();
         for host in list {
-            if host.state == Listed::Gone {
+            if host.state == EndpointStatus::Removed {
                 hosts.remove(&host.name);
                 continue;
             }
@@ -218,24 +218,26 @@
             hosts.insert(host.name.clone(), Known { host, service });
         }
         if whole {
-            Discovery::Whole(endpoints)
+            ListUpdate::Full(endpoints)
         } else {
-            Discovery::Changes(endpoints)
+            ListUpdate::Delta(endpoints)
         }
     }
 
-    async fn attempt(&self, attempt: &Attempt, gate: &dyn Gate, mut off: CallOff) -> Ended<Answer> {
+    async fn attempt(
+        &self, attempt: &Attempt, gate: &dyn SendGate, mut off: Cancellation,
+    ) -> AttemptEnd<Answer> {
         let wait = attempt.wait();
         let begun = Cell::new(false);
         let outcome = tokio::select! {
             biased;
-            () = off.wanted() => Outcome::Cancelled,
+            () = off.requested() => Outcome::Cancelled,
             ended = tokio::time::timeout(wait, self.exchange(attempt, gate, &begun, wait)) => match ended {
                 Ok(ended) => return ended,
                 Err(_) => Outcome::TimedOut,
             }
         };
-        Ended::bare(if begun.get() { outcome } else { Outcome::NoConnection })
+        AttemptEnd::without_response(if begun.get() { outcome } else { Outcome::NoConnection })
     }
 
     /// There is nothing to look at but a service that is ready.
--- a/crates/tower/src/client.rs
+++ b/crates/tower/src/client.rs
@@ -24,7 +24,7 @@
 const MOST_ID: usize = 256;
 /// The engine's queue, whatever its carrier is.
 pub trait Queue: Send + Sync {
-    fn hand_in(&self, message: Box<Message>, ticket: Ticket) -> bool;
+    fn submit(&self, message: Box<Message>, ticket: Ticket) -> bool;
     fn withdraw(&self, id: u64);
 }
 
@@ -85,7 +85,7 @@
         let (end, ended) = oneshot::channel::<End>();
         let place = Place::default();
         let ticket = Ticket { place: place.clone(), end, _counted: counted };
-        if !shared.queue.hand_in(Box::new(message), ticket) {
+        if !shared.queue.submit(Box::new(message), ticket) {
             return Err(Error::Stopped { taken: false });
         }
         let mut waiting = Waiting { shared, place: place.clone(), over: false };
--- a/crates/tower/src/front.rs
+++ b/crates/tower/src/front.rs
@@ -3,7 +3,7 @@
 use crate::body::Collected;
 use crate::error::Error;
 use http::Response;
-use mulleinslip_engine::{Final, Told, Turned};
+use mulleinslip_engine::{FinalAnswer, FrontReply, Rejection};
 use mulleinslip_runtime::Front;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -130,45 +130,49 @@
 }
 
 impl Front<Ticket, Answer> for TowerFront {
-    fn told(&mut self, told: Told<Ticket, Answer>) {
+    fn reply(&mut self, told: FrontReply<Ticket, Answer>) {
         match told {
-            Told::Taken { id, ticket } => {
+            FrontReply::Accepted { id, ticket } => {
                 let here = ticket.place.take(id);
                 self.waiting.insert(id, ticket);
                 if !here {
                     (self.withdraw)(id);
                 }
             }
-            Told::Known { id, ticket } => {
+            FrontReply::Duplicate { id, ticket } => {
                 if let Some(first) = self.waiting.get(&id) {
                     first.place.share(id);
                 }
                 ticket.place.share(NOT_TAKEN);
                 self.also.entry(id).or_default().push(ticket);
             }
-            Told::Turned { ticket, why } => {
+            FrontReply::Rejected { ticket, why } => {
                 let (may_have_run, last) = (false, None);
                 let _gone = ticket.end.send(Err(match why {
-                    Turned::Refused { again_ms } => {
-                        Error::Refused { retry_after: span(again_ms), may_have_run, last }
+                    Rejection::Refused { retry_after_ms } => {
+                        Error::Refused { retry_after: span(retry_after_ms), may_have_run, last }
                     }
-                    Turned::Failed => Error::Failed { may_have_run, last },
+                    Rejection::Failed => Error::Failed { may_have_run, last },
                 }));
             }
-            Told::Final { id, call_id, answer } => {
+            FrontReply::Final { id, call_id, answer } => {
                 let (end, owed) = match answer {
-                    Final::Delivered(answer) | Final::Over(Some(answer)) => (Ok(answer), false),
-                    Final::DeliveredLate(answer) => (Ok(answer), true),
-                    Final::Over(None) => (Err(Error::Failed { may_have_run: false, last: None }), false),
-                    Final::Refused { again_ms, may_have_run, last } => (
+                    FinalAnswer::Delivered(answer) | FinalAnswer::EndedByPartner(Some(answer)) => {
+                        (Ok(answer), false)
+                    }
+                    FinalAnswer::DeliveredLate(answer) => (Ok(answer), true),
+                    FinalAnswer::EndedByPartner(None) => {
+                        (Err(Error::Failed { may_have_run: false, last: None }), false)
+                    }
+                    FinalAnswer::Refused { retry_after_ms, may_have_run, last } => (
                         Err(Error::Refused {
-                            retry_after: span(again_ms),
+                            retry_after: span(retry_after_ms),
                             may_have_run,
                             last: last.map(Box::new),
                         }),
                         true,
                     ),
-                    Final::Failed { may_have_run, last } => {
+                    FinalAnswer::Failed { may_have_run, last } => {
                         (Err(Error::Failed { may_have_run, last: last.map(Box::new) }), true)
                     }
                 };
@@ -212,21 +216,21 @@
         let mut front = TowerFront::new(Box::new(|_, _| ()), Box::new(|_| ()), Box::new(|_| ()));
         // The first goes before the second joins, and its message with it.
         let (first, place, _ended) = ticket(&waiting);
-        front.told(Told::Taken { id: 1, ticket: first });
+        front.reply(FrontReply::Accepted { id: 1, ticket: first });
         assert_eq!(place.leave(), Some(1));
         let (second, joined, mut ended) = ticket(&waiting);
-        front.told(Told::Known { id: 1, ticket: second });
+        front.reply(FrontReply::Duplicate { id: 1, ticket: second });
         assert!(joined.taken() && joined.leave().is_none());
         front.withdrawn(1);
         assert!(matches!(ended.try_recv(), Ok(Err(e)) if e.may_have_run()));
         // It goes after: the message stays.
         let (first, place, _ended) = ticket(&waiting);
-        front.told(Told::Taken { id: 2, ticket: first });
+        front.reply(FrontReply::Accepted { id: 2, ticket: first });
         let (second, _, mut ended) = ticket(&waiting);
-        front.told(Told::Known { id: 2, ticket: second });
+        front.reply(FrontReply::Duplicate { id: 2, ticket: second });
         assert_eq!(place.leave(), None);
-        let answer = Final::Delivered(Response::new(Collected::default()));
-        front.told(Told::Final { id: 2, call_id: "c".into(), answer });
+        let answer = FinalAnswer::Delivered(Response::new(Collected::default()));
+        front.reply(FrontReply::Final { id: 2, call_id: "c".into(), answer });
         assert!(matches!(ended.try_recv(), Ok(Ok(_))));
         assert_eq!(waiting.load(Ordering::SeqCst), 0, "nothing counts any more");
     }
--- a/crates/tower/src/host.rs
+++ b/crates/tower/src/host.rs
@@ -1,6 +1,6 @@
 //! A host, as the plug-in knows it.
 
-use linenhall::{Endpoint, Listed};
+use linenhall::{Endpoint, EndpointStatus};
 
 /// A host of a destination.
 #[derive(Clone, Debug, PartialEq)]
@@ -20,7 +20,7 @@
     /// See [`linenhall::WeightMeaning`].
     pub weight: f64,
     /// Whether it takes calls, drains or is gone.
-    pub state: Listed,
+    pub state: EndpointStatus,
 }
 
 impl Host {
@@ -34,12 +34,12 @@
             zone: 0,
             kind: 0,
             weight: 1.0,
-            state: Listed::Active,
+            state: EndpointStatus::Active,
         }
     }
 
     /// In another state.
-    pub fn state(mut self, state: Listed) -> Host {
+    pub fn state(mut self, state: EndpointStatus) -> Host {
         self.state = state;
         self
     }
@@ -51,7 +51,7 @@
             zone: self.zone,
             kind: self.kind,
             weight: self.weight,
-            listed: self.state,
+            status: self.state,
         }
     }
 }
--- a/crates/tower/src/protocol.rs
+++ b/crates/tower/src/protocol.rs
@@ -3,7 +3,7 @@
 use crate::body::Collected;
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode};
 use linenhall::Outcome;
-use mulleinslip_http::{retry_after_ms, Meaning};
+use mulleinslip_http::{retry_after_ms, ParsedOutcome};
 use std::error::Error;
 use std::time::Duration;
 
@@ -29,13 +29,13 @@
     Platform,
 }
 
-const fn plain(outcome: Outcome) -> Meaning {
-    Meaning { outcome, settled: false, wait_ms: 0.0 }
+const fn plain(outcome: Outcome) -> ParsedOutcome {
+    ParsedOutcome { outcome, settled: false, wait_ms: 0.0 }
 }
 
-const DELIVERED: Meaning = Meaning { outcome: Outcome::Delivered, settled: true, wait_ms: 0.0 };
+const DELIVERED: ParsedOutcome = ParsedOutcome { outcome: Outcome::Delivered, settled: true, wait_ms: 0.0 };
 /// Also a word that says no is an answer, and shows that the partner is well.
-const SAID: Meaning = DELIVERED;
+const SAID: ParsedOutcome = DELIVERED;
 
 impl Protocol {
     /// Puts in what a partner needs to know of an attempt.
@@ -68,7 +68,7 @@
     }
 
     /// What an answer that came whole means.
-    pub(crate) fn read(self, answer: &Response<Collected>) -> Meaning {
+    pub(crate) fn read(self, answer: &Response<Collected>) -> ParsedOutcome {
         let status = answer.status();
         match self {
             Protocol::Grpc => grpc(answer),
@@ -80,7 +80,7 @@
                 300..500 => SAID,
                 _ => plain(Outcome::Error),
             },
-            Protocol::Platform => Meaning::of(status, answer.headers()),
+            Protocol::Platform => ParsedOutcome::of(status, answer.headers()),
         }
     }
 
@@ -107,11 +107,11 @@
     }
 }
 
-fn full(wait_ms: f64) -> Meaning {
-    Meaning { outcome: Outcome::Full, settled: false, wait_ms: wait_ms.clamp(0.0, MOST_WAIT_MS) }
+fn full(wait_ms: f64) -> ParsedOutcome {
+    ParsedOutcome { outcome: Outcome::Full, settled: false, wait_ms: wait_ms.clamp(0.0, MOST_WAIT_MS) }
 }
 
-fn grpc(answer: &Response<Collected>) -> Meaning {
+fn grpc(answer: &Response<Collected>) -> ParsedOutcome {
     // In the trailers, or in the head where there is nothing but a head. One in the head of an answer with a
     // message or with trailers proves nothing.
     let alone = answer.body().data().is_empty() && answer.body().trailers().is_none();
@@ -145,7 +145,7 @@
 
     fn grpc_answer(
         trailers: Option<&[(&'static str, &str)]>, head: &[(&'static str, &str)], data: &'static [u8],
-    ) -> Meaning {
+    ) -> ParsedOutcome {
         let map = |fields: &[(&'static str, &str)]| {
             fields.iter().map(|(n, v)| (n.parse().unwrap(), v.parse().unwrap())).collect::<HeaderMap>()
         };
@@ -212,7 +212,7 @@
         assert_eq!(read(Protocol::Platform, 504, None), plain(Outcome::NotSent));
         assert_eq!(
             read(Protocol::Platform, 410, None),
-            Meaning { outcome: Outcome::NotSent, settled: true, wait_ms: 0.0 }
+            ParsedOutcome { outcome: Outcome::NotSent, settled: true, wait_ms: 0.0 }
         );
         assert_eq!(read(Protocol::Platform, 201, None), plain(Outcome::Error));
     }
--- a/crates/tower/tests/common/mod.rs
+++ b/crates/tower/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
-use linenhall::{Class, Effect, Group, Settings};
+use linenhall::{Class, DedupScope, Effect, Settings};
 use mulleinslip_engine::Names;
 use mulleinslip_testkit::Host as Partner;
 use mulleinslip_tower::{shared, Builder, CallOptions, Client, Collected, Connect, Error, Host, Protocol};
@@ -19,10 +19,10 @@
         aim_ms: 500.0,
         deadline_ms: 5000.0,
         effect,
-        group: Group::All,
-        window_ms: WINDOW_MS,
-        worth: 1.0,
-        late_worth: 0.3,
+        dedup_scope: DedupScope::All,
+        dedup_window_ms: WINDOW_MS,
+        value: 1.0,
+        late_value: 0.3,
         in_order,
     };
     Settings {
@@ -37,9 +37,9 @@
             class(Effect::Safe, true),
         ],
         tenant_rates: vec![1e6],
-        over_share_worth: 1.0,
+        over_share_value: 1.0,
         batch: vec![1],
-        apart: vec![false],
+        own_limits: vec![false],
         may_cancel: true,
         conn_idle_ms: 3000.0,
         conn_streams: 1,
--- a/crates/tower/tests/folder.rs
+++ b/crates/tower/tests/folder.rs
@@ -193,16 +193,16 @@
         let (mut child, said) = spawn_child(&folder.0, &partner, first, kill == kills);
         until("its start", || said.lock().unwrap().iter().any(|w| w.starts_with("started")).then_some(()));
         if kill < kills {
-            let before = partner.heard().len();
+            let before = partner.received().len();
             let calls = before + random.usize(1..60);
-            until("calls", || (partner.heard().len() >= calls).then_some(()));
+            until("calls", || (partner.received().len() >= calls).then_some(()));
             std::thread::sleep(Duration::from_micros(random.u64(..20_000)));
             child.kill().unwrap();
         } else {
             until("the end", || said.lock().unwrap().iter().any(|w| w.starts_with("done")).then_some(()));
         }
         child.wait().unwrap();
-        let heard = partner.heard();
+        let heard = partner.received();
         let numbers = heard.iter().filter_map(|h| h.id()[1..].parse::<usize>().ok());
         first = numbers.max().unwrap_or(0) + 1000;
         for words in said.lock().unwrap().iter() {
@@ -211,7 +211,7 @@
             }
         }
     }
-    let heard = partner.heard();
+    let heard = partner.received();
     let mut first_at: HashMap<&str, Instant> = HashMap::new();
     let (mut twice, mut repeated) = (HashSet::new(), 0);
     for call in &heard {
--- a/crates/tower/tests/grpc.rs
+++ b/crates/tower/tests/grpc.rs
@@ -40,7 +40,7 @@
     let answer = asked(&client, None).unwrap();
     assert_eq!(answer.get_ref(), &data());
     assert_eq!(answer.metadata().get("x-order").unwrap(), "17");
-    let heard = &partner.heard()[0];
+    let heard = &partner.received()[0];
     assert_eq!((heard.path.as_str(), heard.headers.get("te").unwrap().as_bytes()), (PLACE, &b"trailers"[..]));
     let timeout = heard.headers.get("grpc-timeout").unwrap().to_str().unwrap();
     let micros: u64 = timeout.strip_suffix('u').unwrap().parse().unwrap();
@@ -57,7 +57,7 @@
         let status = asked(&client, Some(CallOptions::new("safe", 1))).unwrap_err();
         assert_eq!((status.code() as u32, status.message()), (code, "no"));
         assert_eq!(told(&status, "mulleinslip-end"), "", "it is the partner's answer");
-        assert_eq!(partner.heard().len(), 1, "code {code}");
+        assert_eq!(partner.received().len(), 1, "code {code}");
     }
 }
 
@@ -82,7 +82,7 @@
         let status = status.expect_err(what);
         assert_eq!(told(&status, "mulleinslip-may-have-run"), "true", "{what}: {status:?}");
         assert_ne!(told(&status, "mulleinslip-end"), "", "{what}");
-        assert_eq!(partner.heard().len(), 1, "{what}: sent once");
+        assert_eq!(partner.received().len(), 1, "{what}: sent once");
         // Safe to repeat: it goes again.
         let again = CallOptions::new("safe", 1);
         assert!(asked(&client, Some(again)).is_ok(), "{what}");
@@ -99,7 +99,7 @@
     let start = Instant::now();
     assert!(asked(&client, None).is_ok(), "unsafe, and tried again");
     assert!(start.elapsed() >= Duration::from_millis(300));
-    let heard = partner.heard();
+    let heard = partner.received();
     assert_eq!(heard[1].headers.get("grpc-previous-rpc-attempts").unwrap(), "1");
     assert!(running.shutdown(Duration::from_secs(5)));
 }
@@ -151,7 +151,7 @@
         let options = CallOptions::new("safe", 1);
         assert!(unary(through, "/stock.Stock/Set", data(), Some(options)).await.is_ok());
     });
-    let paths = |p: &GrpcPartner| p.heard().into_iter().map(|h| h.path).collect::<Vec<_>>();
+    let paths = |p: &GrpcPartner| p.received().into_iter().map(|h| h.path).collect::<Vec<_>>();
     assert_eq!(paths(&known), [PLACE, "/stock.Stock/Set"]);
     assert_eq!(paths(&other), ["/stock.Stock/Set"]);
     assert!(running.shutdown(Duration::from_secs(5)));
--- a/crates/tower/tests/hard.rs
+++ b/crates/tower/tests/hard.rs
@@ -15,7 +15,7 @@
     let (client, running) = start(builder(8, 40, &[("h", 1, &partner)]), http());
     let answer = call(&client, "keyed", 1, "a").unwrap();
     assert_eq!((answer.status().as_u16(), answer.headers()["x-order"].to_str().unwrap()), (201, "17"));
-    let heard = partner.heard();
+    let heard = partner.received();
     assert_eq!((heard.len(), &heard[0].body[..]), (1, &b"4 tyres"[..]));
     assert_eq!(heard[0].header("idempotency-key"), "a");
     assert!(running.shutdown(Duration::from_secs(5)));
@@ -60,7 +60,7 @@
     assert!((200..CALLS).contains(&delivered), "{delivered} delivered: more were handed in than are held");
     // On a busy machine an answer may come so late that its call is made once more, if it is safe to repeat; and only then.
     let mut heard: HashMap<String, usize> = HashMap::new();
-    partner.heard().iter().for_each(|call| *heard.entry(call.id().to_string()).or_default() += 1);
+    partner.received().iter().for_each(|call| *heard.entry(call.id().to_string()).or_default() += 1);
     let number = |id: &str| id[1..].parse::<usize>().unwrap();
     assert!(heard.iter().all(|(id, n)| *n == 1 || number(id) % 3 != 1), "no unsafe one was sent twice");
     assert!(heard.len() >= delivered, "what was delivered was heard");
@@ -77,7 +77,7 @@
     // As many as there are slots, several times over: each is called off, and the next one goes.
     for round in 0..4 {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-        let before = partner.heard().len();
+        let before = partner.received().len();
         let calls: Vec<_> = (0..3)
             .map(|n| {
                 let (client, id) = (client.clone(), format!("gone-{round}-{n}"));
@@ -85,7 +85,7 @@
                     .spawn(async move { client.send(order(CallOptions::new("unsafe", 1).call_id(id))).await })
             })
             .collect();
-        let there = || partner.heard().len() - before;
+        let there = || partner.received().len() - before;
         let all_there = runtime.block_on(async {
             let come = async {
                 while there() < 3 {
@@ -100,7 +100,7 @@
         drop(runtime);
         assert_eq!(word(&call(&client, "safe", 1, &format!("after-{round}"))), "delivered");
     }
-    let sent = partner.heard();
+    let sent = partner.received();
     assert!(sent.iter().all(|h| sent.iter().filter(|x| x.id() == h.id()).count() == 1), "none is sent twice");
     assert!(running.shutdown(Duration::from_secs(5)), "nothing is open");
 }
@@ -165,7 +165,7 @@
     let theirs = client.clone();
     let mid = std::thread::spawn(move || call(&theirs, "unsafe", 2, "mid"));
     until("the call", || (old.calls_of("mid") == 1).then_some(()));
-    let drained = Host::new("old", 2, old.address.to_string()).state(linenhall::Listed::Leaving);
+    let drained = Host::new("old", 2, old.address.to_string()).state(linenhall::EndpointStatus::Draining);
     running.endpoints().changed(vec![drained, Host::new("new", 2, new.address.to_string())]);
     assert_eq!(word(&call(&client, "unsafe", 2, "after")), "delivered");
     assert_eq!(word(&mid.join().unwrap()), "delivered");
@@ -206,12 +206,12 @@
         assert_eq!(word(&call(&client, "unsafe", 1, &format!("on-{n}"))), "delivered");
         new.calls_of(&format!("on-{n}")).gt(&0).then_some(())
     });
-    let drained = old.heard().len();
+    let drained = old.received().len();
     agent.set_down(true);
     for n in 0..5 {
         assert_eq!(word(&call(&client, "unsafe", 1, &format!("down-{n}"))), "delivered");
     }
-    assert_eq!(old.heard().len(), drained, "nothing new goes to what drains");
+    assert_eq!(old.received().len(), drained, "nothing new goes to what drains");
     agent.set_down(false);
     agent.list("c", 2, new.address, "active");
     until("a destination that was not there", || call(&client, "safe", 2, "late").is_ok().then_some(()));
@@ -235,7 +235,7 @@
     assert!(end(of("safe").call_id(""), 1).contains("empty"));
     assert!(end(of("safe").key("a b"), 1).contains("not plain"));
     assert!(end(of("safe"), 65).contains("too long"));
-    assert!(partner.heard().is_empty());
+    assert!(partner.received().is_empty());
 }
 
 #[test]
--- a/crates/traffic/src/record.rs
+++ b/crates/traffic/src/record.rs
@@ -1,7 +1,7 @@
 //! The recorder: stands between clients and a relay, and passes everything on as it comes.
 
 use crate::format::{Message, Writer};
-use mulleinslip_testkit::{hear, Heard};
+use mulleinslip_testkit::{receive, ReceivedRequest};
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -56,9 +56,9 @@
 fn pass<W: Write>(client: TcpStream, to: SocketAddr, state: &Mutex<State<W>>) {
     let Ok(relay) = TcpStream::connect(to) else { return };
     let (mut client, mut relay) = (BufReader::new(client), BufReader::new(relay));
-    while let Some(asked) = hear(&mut client, 0) {
+    while let Some(asked) = receive(&mut client, 0) {
         let sent = relay.get_mut().write_all(&bytes(&asked));
-        let Some(answer) = sent.ok().and_then(|()| hear(&mut relay, 0)) else { return };
+        let Some(answer) = sent.ok().and_then(|()| receive(&mut relay, 0)) else { return };
         if let Ok(mut state) = state.lock() {
             // Answers come in another order than messages do; the lines are in that of the answers.
             let at_us = asked.at.saturating_duration_since(state.start).as_micros() as u64;
@@ -79,7 +79,7 @@
     let _nothing = client.read(&mut []);
 }
 
-fn bytes(heard: &Heard) -> Vec<u8> {
+fn bytes(heard: &ReceivedRequest) -> Vec<u8> {
     let mut out = format!("{}\r\n", heard.line).into_bytes();
     for (name, value) in &heard.headers {
         out.extend_from_slice(format!("{name}: {value}\r\n").as_bytes());
@@ -90,7 +90,7 @@
 }
 
 /// What was handed in, if it can be read as the relay would.
-fn message(asked: &Heard, at_us: u64) -> Option<Message> {
+fn message(asked: &ReceivedRequest, at_us: u64) -> Option<Message> {
     let target = asked.line.split(' ').nth(1)?;
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let (class, key) = path.trim_start_matches('/').split_once('/').unwrap_or((path.trim_matches('/'), ""));
