--- a/crates/http/src/audit.rs
+++ b/crates/http/src/audit.rs
@@ -1,88 +1,90 @@
-//! The audit of messages: a line in the log for each step in a message's life, with its sender's id, so that it can be
-//! followed through a relay and from one process to the next. Off unless it is asked for; each step then costs one load.
+//! The audit log: one line for each step of a message's life, with the client's id of the message, so that a
+//! message can be followed through a relay and across takeovers. It is off by default; each step then costs
+//! one atomic load.
 
 use serde::Serialize;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Begins a line of the audit.
-const MARK: &str = "audit ";
+/// Prefix of each audit line.
+const LINE_PREFIX: &str = "audit ";
 
 static ENABLED: AtomicBool = AtomicBool::new(false);
 
-/// A step in a message's life.
+/// A step of a message's life.
 #[derive(Debug, Serialize)]
 #[serde(tag = "step", rename_all = "snake_case")]
 pub enum Step<'a> {
-    /// Its request has been read whole and goes to the engine.
+    /// The message's request was read in full and goes to the engine.
     Handed {
-        /// The client's connection, counted by this process.
+        /// Number of the client's connection in this process.
         client: u64,
-        /// When its time is up, in milliseconds since 1970.
+        /// The message's deadline, in milliseconds since 1970.
         due: f64,
-        /// The index of its class.
+        /// Index of the message's class.
         class: usize,
-        /// Its destination.
+        /// The message's destination.
         destination: u64,
     },
-    /// The engine has said what its client hears.
+    /// The engine has decided the answer to the client.
     Answered {
-        /// The client's connection.
+        /// Number of the client's connection.
         client: u64,
-        /// The answer's status.
+        /// HTTP status of the answer.
         status: u16,
     },
-    /// The answer's last byte has been accepted by the client's socket.
+    /// The client's socket has accepted the last byte of the answer.
     AnswerWritten {
-        /// The client's connection.
+        /// Number of the client's connection.
         client: u64,
     },
-    /// Its client has gone, or its connection was closed, before the answer was written.
+    /// The client left, or its connection was closed, before the answer was written.
     ClientGone {
-        /// The client's connection.
+        /// Number of the client's connection.
         client: u64,
     },
-    /// An earlier process had taken it on and left it.
+    /// The message was recovered from the journal of an earlier process.
     Restored {
-        /// When its time is up, in milliseconds since 1970.
+        /// The message's deadline, in milliseconds since 1970.
         due: f64,
-        /// Attempts that were begun.
+        /// Number of attempts that the earlier process began.
         attempts: usize,
-        /// It was given up already; only the notice was owed.
+        /// Whether the message was given up already and only its notice was pending.
         given_up: bool,
     },
-    /// An attempt is about to be written.
+    /// An attempt is about to be written to a host.
     Begun {
-        /// Counted from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
         /// The host.
         endpoint: &'a str,
-        /// The connection to it, by its local port.
+        /// Local port of the connection to the host.
         port: u16,
-        /// Requests that this connection carried before.
+        /// Number of requests that the connection carried before.
         carried: u32,
     },
     /// An attempt has ended.
     Ended {
-        /// Counted from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
-        /// What it came to.
+        /// The outcome of the attempt.
         outcome: String,
-        /// Nothing more is owed.
+        /// Whether the message is finished with this attempt.
         settled: bool,
-        /// The status in the first line that came back.
+        /// HTTP status in the response's status line, if one was received.
         status: Option<u16>,
-        /// Whether it was written whole.
+        /// Whether the request was written in full.
         whole: bool,
     },
-    /// It is over, and this is said of it to the platform; nothing, if it was delivered.
+    /// The message has its final answer; the platform gets a notice unless the message was delivered or ended
+    /// by the partner.
     Final {
-        /// How.
+        /// The final answer.
         outcome: &'a str,
     },
-    /// Its notice has been answered.
+    /// The platform has answered the message's notice.
     Notified {
-        /// The answer's status.
+        /// HTTP status of that answer.
         status: u16,
     },
 }
@@ -95,24 +97,24 @@
     step: Step<'a>,
 }
 
-/// Writes the audit from now on.
+/// Turns the audit log on.
 pub fn enable() {
     ENABLED.store(true, Ordering::Relaxed);
 }
 
-/// Whether the audit is written.
+/// Returns whether the audit log is on.
 pub fn enabled() -> bool {
     ENABLED.load(Ordering::Relaxed)
 }
 
-/// Notes a step of the message with this id.
+/// Logs a step of the message with this id, if the audit log is on.
 pub fn note<'a>(id: &'a str, step: impl FnOnce() -> Step<'a>) {
     if !enabled() {
         return;
     }
     let at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0;
     if let Ok(line) = serde_json::to_string(&Line { at, id, step: step() }) {
-        eprintln!("mulleinslip: {MARK}{line}");
+        eprintln!("mulleinslip: {LINE_PREFIX}{line}");
     }
 }
 
--- a/crates/http/src/audit/tests.rs
+++ b/crates/http/src/audit/tests.rs
@@ -1,7 +1,8 @@
-//! Guards against changes of the audit's lines: whoever follows a message through a relay and from one process to the
-//! next reads them by their names.
+//! Guards the format of the audit lines: tools that follow a message through relays and takeovers read the
+//! lines by these names.
 use super::*;
 
+/// Recorded audit lines, one of each kind.
 const SAMPLE: &str = include_str!("../../tests/recorded/audit.txt");
 
 #[test]
@@ -21,6 +22,6 @@
         Step::Notified { status: 204 },
     ];
     let line = |step| Line { at: 1_764_770_000_123.5, id: "call-a", step };
-    let written = steps.map(|step| format!("{MARK}{}\n", serde_json::to_string(&line(step)).unwrap()));
+    let written = steps.map(|step| format!("{LINE_PREFIX}{}\n", serde_json::to_string(&line(step)).unwrap()));
     assert_eq!(written.concat(), SAMPLE);
 }
--- a/crates/http/src/carrier.rs
+++ b/crates/http/src/carrier.rs
@@ -3,7 +3,7 @@
 
 use crate::audit::{self, Step};
 use crate::conn::{bytes, Answer, Conn, Failure, Progress, SMALL};
-use crate::idle::Idle;
+use crate::idle::IdlePool;
 use crate::outcomes::ParsedOutcome;
 use bytes::Bytes;
 use hyper::header::{HeaderName, HOST};
@@ -60,7 +60,7 @@
     of: HashMap<u64, HashSet<String>>,
     waits: HashMap<EndpointGroupKey, Instant>,
     open: usize,
-    idle: Idle<Conn>,
+    idle: IdlePool<Conn>,
 }
 
 impl State {
@@ -68,7 +68,7 @@
         if let Some(host) = self.hosts.remove(name) {
             self.leave(host.entry.group, name);
         }
-        self.idle.drop_all(name);
+        self.idle.drop_host(name);
     }
 
     fn leave(&mut self, destination: u64, name: &str) {
@@ -205,7 +205,7 @@
         let host = state.hosts.get(endpoint).filter(|h| h.active() && h.entry.address == peer);
         let room = state.open + state.idle.len() < self.s.max_open;
         if let (Some(_), true, Some(since)) = (host, room, Instant::now().checked_sub(idle)) {
-            state.idle.keep(endpoint, since, conn);
+            state.idle.insert(endpoint, since, conn);
         }
         Ok(())
     }
@@ -329,7 +329,7 @@
             let mut state = self.state.borrow_mut();
             let Some(host) = state.hosts.get(endpoint) else { return Err(Held::NotNow) };
             let address = host.entry.address;
-            while let Some((since, conn)) = state.idle.take(endpoint) {
+            while let Some((since, conn)) = state.idle.take_newest(endpoint) {
                 if since.elapsed() < self.idle && conn.usable() {
                     state.open += 1;
                     drop(state);
@@ -352,7 +352,7 @@
         let mut state = self.state.borrow_mut();
         // Whether it still stands is asked when it is taken up again.
         if conn.reusable() && state.hosts.get(endpoint).is_some_and(|h| h.active()) {
-            state.idle.keep(endpoint, Instant::now(), conn);
+            state.idle.insert(endpoint, Instant::now(), conn);
         }
     }
 
@@ -436,7 +436,7 @@
             }
             // Connections to an address that the host has left, or to a host that wants nothing more.
             if !active || before.is_some_and(|before| before.1 != e.address) {
-                state.idle.drop_all(&e.name);
+                state.idle.drop_host(&e.name);
             }
         }
         self.s.names.discovery(&list)
@@ -497,7 +497,7 @@
     }
 
     fn close_idle(&self, endpoint: &str) {
-        self.state.borrow_mut().idle.drop_all(endpoint);
+        self.state.borrow_mut().idle.drop_host(endpoint);
     }
 }
 
--- a/crates/http/src/discovery.rs
+++ b/crates/http/src/discovery.rs
@@ -1,5 +1,6 @@
-//! The list of hosts: fetched once, then watched without a gap. On a failure the list held stays in force. The
-//! agent may move: from then on the new one is asked, and first for the whole list.
+//! Client of the discovery agent: fetches the list of hosts, then watches it for changes without a gap. After
+//! a failure the current list stays in force. If the agent's address changes, the new agent is asked for the
+//! full list first.
 
 use crate::conn::{bytes, Conn};
 use crate::schedule::PollCost;
@@ -11,38 +12,41 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// How long the body of a list may take once its head has come.
-const BODY: Duration = Duration::from_millis(1000);
-const CONNECT: Duration = Duration::from_millis(1000);
-/// A list is read this far where nothing else is said, in bytes: thousands of hosts.
+/// Time limit for the body of a list once its head has been received.
+const BODY_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Time limit for opening a connection to the agent.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Default maximum size of a list, enough for thousands of hosts.
 pub const MAX_LIST_BYTES: usize = 1 << 20;
-/// So many answers in a row that are older than the list held mean that discovery began its count anew.
-const OLDER_IN_A_ROW: u32 = 3;
+/// Number of lists older than the current one, without a newer one between them, that show that discovery has
+/// restarted its version count.
+const MAX_OLDER_LISTS: u32 = 3;
 
-/// An answer whose version lies before the one held tells what was true once, and is not taken: its hosts may be gone.
+/// Rejects a list that is older than the current one: its hosts may have been removed since.
 ///
 /// # Errors
+///
 /// Names both versions.
-fn not_older(held: Option<u64>, list: &List) -> Result<(), String> {
-    match held.filter(|held| list.index < *held) {
-        Some(held) => {
-            Err(format!("a list of version {}, older than version {held} that is held", list.index))
+fn check_not_older(current: Option<u64>, list: &List) -> Result<(), String> {
+    match current.filter(|current| list.index < *current) {
+        Some(current) => {
+            Err(format!("list version {} is older than the current version {current}", list.index))
         }
         None => Ok(()),
     }
 }
 
-/// Why a call for the list told nothing.
+/// Why a call for the list failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FetchError {
-    /// No answer, or none that can be read, in words.
+    /// No answer, or an unreadable one; the text says why.
     Failed(String),
-    /// The list is longer than what is read.
+    /// The list is longer than the relay reads.
     TooLarge {
-        /// In bytes, as its head says.
+        /// Size of the list by its `Content-Length`, in bytes.
         size: u64,
-        /// What is read, in bytes.
-        most: usize,
+        /// Maximum size that is read, in bytes.
+        max_bytes: usize,
     },
 }
 
@@ -50,8 +54,8 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             FetchError::Failed(why) => f.write_str(why),
-            FetchError::TooLarge { size, most } => {
-                write!(f, "a list of {size} bytes; {most} are read at most, by limits.memory_mb")
+            FetchError::TooLarge { size, max_bytes } => {
+                write!(f, "list of {size} bytes exceeds the maximum of {max_bytes} bytes (limits.memory_mb)")
             }
         }
     }
@@ -63,116 +67,120 @@
     }
 }
 
-/// Discovery's agent, over one connection that is kept.
+/// Client of a discovery agent, with one persistent connection.
 pub struct Discovery {
     address: SocketAddr,
     conn: Option<Conn>,
-    calls: PollCost,
-    /// How far a list is read, in bytes.
-    most: usize,
+    poll_cost: PollCost,
+    /// Maximum size of a list, in bytes.
+    max_bytes: usize,
 }
 
 impl Discovery {
-    /// An agent that was not asked yet.
-    pub fn new(address: SocketAddr, calls: PollCost) -> Discovery {
-        Discovery { address, conn: None, calls, most: MAX_LIST_BYTES }
+    /// Creates a client; the connection is opened by the first call.
+    pub fn new(address: SocketAddr, poll_cost: PollCost) -> Discovery {
+        Discovery { address, conn: None, poll_cost, max_bytes: MAX_LIST_BYTES }
     }
 
-    /// Reads lists up to so many bytes.
-    pub fn reads(self, most: usize) -> Discovery {
-        Discovery { most, ..self }
+    /// Sets the maximum size of a list, in bytes.
+    pub fn reads(self, max_bytes: usize) -> Discovery {
+        Discovery { max_bytes, ..self }
     }
 
-    /// How long a process that starts waits with its first call: many relays may start at once, as in a release.
+    /// Returns the delay of a starting process's first call, random where many relays may start at once, as
+    /// in a release.
     pub fn spread(&self) -> Duration {
-        self.calls.spread(fastrand::f64())
+        self.poll_cost.start_delay(fastrand::f64())
     }
 
-    /// The version to ask from at a start that knows a list of this one. A whole list and then a watch are two calls: among
-    /// many relays the watch has to do, which tells what was missed. An older answer to that first call is believed: the list
-    /// known may come from another agent, whose versions need not agree with this one's.
+    /// Returns the version from which a starting process that knows the list of version `known` asks for
+    /// changes, or `None` for the full list. A full list and then a watch are two calls; where calls are
+    /// costly the watch alone has to do, as it returns what was missed. An older answer to that first call is
+    /// accepted, as the known list may come from another agent, whose version count differs.
     pub fn start_after(&self, known: u64) -> Option<u64> {
-        (self.calls == PollCost::Costly).then_some(known)
+        (self.poll_cost == PollCost::Costly).then_some(known)
     }
 
-    /// The whole list (`after` is `None`), or what is newer than that version.
+    /// Fetches the full list (`after` is `None`) or waits for changes newer than that version.
     pub async fn ask(&mut self, after: Option<u64>) -> Result<List, FetchError> {
         let path = match after {
             None => "/catalog/members".to_string(),
             Some(index) => {
-                format!("/catalog/members?after={index}&wait_ms={}", self.calls.watch().as_millis())
+                format!("/catalog/members?after={index}&wait_ms={}", self.poll_cost.watch_time().as_millis())
             }
         };
-        let within = self.calls.patience() + after.map_or(Duration::ZERO, |_| self.calls.watch());
+        let time_limit =
+            self.poll_cost.answer_timeout() + after.map_or(Duration::ZERO, |_| self.poll_cost.watch_time());
         let mut conn = match self.conn.take().filter(Conn::usable) {
             Some(conn) => conn,
-            None => Conn::open(self.address, CONNECT).await.map_err(|e| e.to_string())?,
+            None => Conn::open(self.address, CONNECT_TIMEOUT).await.map_err(|e| e.to_string())?,
         };
         let request = Request::get(path).header("Host", self.address.to_string()).body(bytes(""));
         let request = request.map_err(|e| e.to_string())?;
-        let answer = tokio::time::timeout(within, conn.exchange(request, BODY, self.most))
+        let response = tokio::time::timeout(time_limit, conn.exchange(request, BODY_TIMEOUT, self.max_bytes))
             .await
             .map_err(|_| "no answer in time".to_string())?
             .map_err(|e| e.to_string())?;
-        if answer.status != StatusCode::OK {
-            return Err(format!("answer {}", answer.status).into());
+        if response.status != StatusCode::OK {
+            return Err(format!("HTTP status {}", response.status).into());
         }
-        if let Some(size) = answer.too_long {
-            return Err(FetchError::TooLarge { size, most: self.most });
+        if let Some(size) = response.too_long {
+            return Err(FetchError::TooLarge { size, max_bytes: self.max_bytes });
         }
-        let body = answer.body.ok_or_else(|| "the answer broke off".to_string())?;
+        let body = response.body.ok_or_else(|| "the response body was incomplete".to_string())?;
         self.conn = Some(conn);
-        serde_json::from_slice(&body).map_err(|e| format!("a list that can't be read: {e}").into())
+        serde_json::from_slice(&body).map_err(|e| format!("malformed list: {e}").into())
     }
 
-    /// Tells all news, and which agent told it, until `news` gives `false`. `index` is the version held, if a list was
-    /// fetched already; `place` is where the agent is. A list that can't be read, broke off or is older than the one held changes nothing.
+    /// Passes each list and the address of its agent to `on_list` until that returns `false`. `index` is the
+    /// version of the current list, if one was fetched already; `agent` holds the agent's address. A list
+    /// that is malformed, incomplete or older than the current one changes nothing.
     pub async fn watch(
-        mut self, mut index: Option<u64>, mut place: watch::Receiver<SocketAddr>,
-        news: impl Fn(SocketAddr, List) -> bool,
+        mut self, mut index: Option<u64>, mut agent: watch::Receiver<SocketAddr>,
+        on_list: impl Fn(SocketAddr, List) -> bool,
     ) {
-        let (mut failures, mut older) = (0u32, 0u32);
+        let (mut failures, mut older_lists) = (0u32, 0u32);
         loop {
-            let address = *place.borrow_and_update();
+            let address = *agent.borrow_and_update();
             if address != self.address {
-                // A watch in flight went with its connection. The versions of two agents need not agree.
-                self = Discovery::new(address, self.calls).reads(self.most);
-                (index, failures, older) = (None, 0, 0);
+                // The pending watch is dropped with its connection. Version counts of two agents may differ.
+                self = Discovery::new(address, self.poll_cost).reads(self.max_bytes);
+                (index, failures, older_lists) = (None, 0, 0);
             }
-            let asked = tokio::select! {
+            let fetched = tokio::select! {
                 biased;
-                Ok(()) = place.changed() => continue,
-                asked = self.ask(index) => asked,
+                Ok(()) = agent.changed() => continue,
+                fetched = self.ask(index) => fetched,
             };
-            let fit = asked.and_then(|list| match not_older(index, &list) {
+            let checked = fetched.and_then(|list| match check_not_older(index, &list) {
                 Ok(()) => Ok(list),
                 Err(e) => {
-                    older += 1;
+                    older_lists += 1;
                     Err(FetchError::Failed(e))
                 }
             });
-            if older >= OLDER_IN_A_ROW {
+            if older_lists >= MAX_OLDER_LISTS {
                 index = None;
             }
-            match fit {
+            match checked {
                 Ok(list) => {
-                    older = 0;
+                    older_lists = 0;
                     if failures > 0 {
-                        eprintln!("mulleinslip: discovery is back");
+                        eprintln!("mulleinslip: discovery answers again");
                     }
                     failures = 0;
                     index = Some(list.index);
-                    if !news(self.address, list) {
+                    if !on_list(self.address, list) {
                         return;
                     }
                 }
                 Err(e) => {
                     if failures == 0 {
-                        eprintln!("mulleinslip: discovery: {e}; the list held stays in force");
+                        eprintln!("mulleinslip: discovery: {e}; the current list stays in force");
                     }
                     let too_large = matches!(e, FetchError::TooLarge { .. });
-                    let pause = self.calls.pause(failures, too_large, fastrand::f64());
-                    let _moved_or_not = timeout(pause, place.changed()).await;
+                    let pause = self.poll_cost.pause(failures, too_large, fastrand::f64());
+                    let _agent_changed_or_not = timeout(pause, agent.changed()).await;
                     failures = failures.saturating_add(1);
                 }
             }
--- a/crates/http/src/front.rs
+++ b/crates/http/src/front.rs
@@ -1,5 +1,5 @@
-//! The front as the engine sees it: a client that waits hears whether its message was taken on, and the platform
-//! hears by notice how one ended that was taken on and not delivered.
+//! The engine's front over HTTP: answers the waiting client whether its message was accepted, and queues a
+//! notice to the platform for each accepted message that was not delivered.
 
 use crate::answer::{Answer, Ticket};
 use crate::audit::{self, Step};
@@ -8,23 +8,23 @@
 use mulleinslip_runtime::Front;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Passes on what the engine tells.
+/// Forwards the engine's replies to clients and notices.
 pub struct HttpFront {
     notices: UnboundedSender<Notice>,
 }
 
 impl HttpFront {
-    /// `notices` goes to [`crate::run_notices`].
+    /// Creates a front; `notices` is the sending side of the queue that [`crate::run_notices`] reads.
     pub fn new(notices: UnboundedSender<Notice>) -> HttpFront {
         HttpFront { notices }
     }
 }
 
 impl Front<Ticket, ()> for HttpFront {
-    fn reply(&mut self, told: FrontReply<Ticket, ()>) {
-        let (ticket, answer) = match told {
+    fn reply(&mut self, reply: FrontReply<Ticket, ()>) {
+        let (ticket, answer) = match reply {
             FrontReply::Accepted { ticket, .. } | FrontReply::Duplicate { ticket, .. } => {
-                (ticket, Answer::Taken)
+                (ticket, Answer::Accepted)
             }
             FrontReply::Rejected { ticket, why: Rejection::Refused { retry_after_ms } } => {
                 (ticket, Answer::Refused { retry_after_ms })
@@ -40,7 +40,7 @@
                 };
                 audit::note(&call_id, || Step::Final { outcome });
                 let deferred = match answer {
-                    // The partner's 200 or 410 is all that the platform needs.
+                    // The platform learns of these from the partner's 200 or 410 and needs no notice.
                     FinalAnswer::Delivered(()) | FinalAnswer::EndedByPartner(_) => return,
                     FinalAnswer::Refused { retry_after_ms, .. } => Some(retry_after_ms),
                     FinalAnswer::Failed { .. } | FinalAnswer::DeliveredLate(()) => None,
@@ -52,7 +52,7 @@
         let _gone = ticket.send(answer);
     }
 
-    /// A client that is gone without an answer takes its message with it.
+    /// A client that leaves before it has an answer withdraws its message.
     fn waits(&self, ticket: &Ticket) -> bool {
         !ticket.is_closed()
     }
--- a/crates/http/src/handle.rs
+++ b/crates/http/src/handle.rs
@@ -1,7 +1,7 @@
-//! The engine's queue as the HTTP sides see it.
+//! The engine's queue as this package uses it.
 
 use crate::answer::Ticket;
 use crate::carrier::HttpCarrier;
 
-/// What the front, discovery and notices put into the engine's queue.
+/// Handle by which the front, discovery and notices put events into the engine's queue.
 pub type Handle = mulleinslip_runtime::Handle<Ticket, HttpCarrier>;
--- a/crates/http/src/idle.rs
+++ b/crates/http/src/idle.rs
@@ -1,87 +1,94 @@
-//! Connections that stand idle, by host and by age. No I/O: what a connection is, and whether it still stands, is
-//! its owner's matter.
+//! Pool of idle connections, by host and by age. It does no I/O: the owner decides what a connection is and
+//! checks whether it is still usable.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
 use std::time::Instant;
 
-struct Kept<C> {
+struct IdleConnection<C> {
     host: Rc<str>,
     since: Instant,
     conn: C,
 }
 
-/// Each step costs the logarithm of what stands idle, however many hosts there are.
-pub struct Idle<C> {
-    /// Numbered as they came: the oldest first.
-    all: BTreeMap<u64, Kept<C>>,
-    /// Numbers of each host's, the oldest first.
-    of: HashMap<Rc<str>, VecDeque<u64>>,
-    next: u64,
+/// Pool of idle connections. Each operation costs O(log n) in the number of idle connections, however many
+/// hosts there are.
+pub struct IdlePool<C> {
+    /// Connections by a number that counts up, so the oldest comes first.
+    by_age: BTreeMap<u64, IdleConnection<C>>,
+    /// The numbers of each host's connections, the oldest first.
+    by_host: HashMap<Rc<str>, VecDeque<u64>>,
+    next_number: u64,
 }
 
-impl<C> Default for Idle<C> {
-    fn default() -> Idle<C> {
-        Idle { all: BTreeMap::new(), of: HashMap::new(), next: 0 }
+impl<C> Default for IdlePool<C> {
+    fn default() -> IdlePool<C> {
+        IdlePool { by_age: BTreeMap::new(), by_host: HashMap::new(), next_number: 0 }
     }
 }
 
-impl<C> Idle<C> {
+impl<C> IdlePool<C> {
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.by_age.len()
     }
 
-    pub fn keep(&mut self, host: &str, now: Instant, conn: C) {
-        let number = self.next;
-        self.next += 1;
-        let host = match self.of.get_key_value(host) {
+    pub fn insert(&mut self, host: &str, now: Instant, conn: C) {
+        let number = self.next_number;
+        self.next_number += 1;
+        let host = match self.by_host.get_key_value(host) {
             Some((host, _)) => host.clone(),
             None => Rc::from(host),
         };
-        self.of.entry(host.clone()).or_default().push_back(number);
-        self.all.insert(number, Kept { host, since: now, conn });
+        self.by_host.entry(host.clone()).or_default().push_back(number);
+        self.by_age.insert(number, IdleConnection { host, since: now, conn });
     }
 
-    /// The host's newest, and since when it stands idle. The host's own entry stays for the next one.
-    pub fn take(&mut self, host: &str) -> Option<(Instant, C)> {
-        let number = self.of.get_mut(host)?.pop_back()?;
-        self.all.remove(&number).map(|kept| (kept.since, kept.conn))
+    /// Takes the host's newest connection and the time since which it is idle. The host's entry stays for
+    /// later insertions.
+    pub fn take_newest(&mut self, host: &str) -> Option<(Instant, C)> {
+        let number = self.by_host.get_mut(host)?.pop_back()?;
+        self.by_age.remove(&number).map(|connection| (connection.since, connection.conn))
     }
 
-    /// The one that has stood idle for longest: its host, since when, itself.
+    /// Takes the connection that has been idle for longest, with its host and the time since which it is
+    /// idle.
     pub fn take_oldest(&mut self) -> Option<(Rc<str>, Instant, C)> {
-        let (number, kept) = self.all.pop_first()?;
-        self.unlist(&kept.host, number);
-        Some((kept.host, kept.since, kept.conn))
+        let (number, connection) = self.by_age.pop_first()?;
+        self.remove_from_host(&connection.host, number);
+        Some((connection.host, connection.since, connection.conn))
     }
 
-    /// Drops the one that has stood idle for longest.
+    /// Drops the connection that has been idle for longest; returns whether there was one.
     pub fn drop_oldest(&mut self) -> bool {
         self.take_oldest().is_some()
     }
 
-    /// Drops all of a host's.
-    pub fn drop_all(&mut self, host: &str) {
-        for number in self.of.remove(host).unwrap_or_default() {
-            self.all.remove(&number);
+    /// Drops all connections of a host.
+    pub fn drop_host(&mut self, host: &str) {
+        for number in self.by_host.remove(host).unwrap_or_default() {
+            self.by_age.remove(&number);
         }
     }
 
-    /// Drops those that don't stay, and hosts without any.
-    pub fn retain(&mut self, stays: impl Fn(Instant, &C) -> bool) {
-        let go = self.all.iter().filter(|(_, k)| !stays(k.since, &k.conn)).map(|(n, _)| *n);
-        for number in go.collect::<Vec<_>>() {
-            if let Some(kept) = self.all.remove(&number) {
-                self.unlist(&kept.host, number);
+    /// Drops the connections for which `keep` returns false, and the entries of hosts without connections.
+    pub fn retain(&mut self, keep: impl Fn(Instant, &C) -> bool) {
+        let expired = self
+            .by_age
+            .iter()
+            .filter(|(_, connection)| !keep(connection.since, &connection.conn))
+            .map(|(number, _)| *number);
+        for number in expired.collect::<Vec<_>>() {
+            if let Some(connection) = self.by_age.remove(&number) {
+                self.remove_from_host(&connection.host, number);
             }
         }
-        self.of.retain(|_, numbers| !numbers.is_empty());
+        self.by_host.retain(|_, numbers| !numbers.is_empty());
     }
 
-    fn unlist(&mut self, host: &str, number: u64) {
-        if let Some(numbers) = self.of.get_mut(host) {
-            if let Ok(at) = numbers.binary_search(&number) {
-                numbers.remove(at);
+    fn remove_from_host(&mut self, host: &str, number: u64) {
+        if let Some(numbers) = self.by_host.get_mut(host) {
+            if let Ok(index) = numbers.binary_search(&number) {
+                numbers.remove(index);
             }
         }
     }
--- a/crates/http/src/intake.rs
+++ b/crates/http/src/intake.rs
@@ -102,7 +102,7 @@
         // If this request's connection ends first, `answered` is dropped, and the message is left.
         let _or_stopped = self.engine.submit(Box::new(message), answer);
         let reply = match answered.await {
-            Ok(Answer::Taken) => plain(StatusCode::ACCEPTED, ""),
+            Ok(Answer::Accepted) => plain(StatusCode::ACCEPTED, ""),
             Ok(Answer::Failed) => plain(StatusCode::INTERNAL_SERVER_ERROR, "not delivered\n"),
             Ok(Answer::Refused { retry_after_ms }) => refused(retry_after_ms),
             Err(_) => refused(None),
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,5 +1,5 @@
-//! The platform's protocol over HTTP/1.1: the front that takes messages from clients and tells their ends by
-//! notices, the carrier that calls hosts, and discovery.
+//! The platform's protocol over HTTP/1.1: the front, which accepts messages from clients and reports
+//! undelivered ones by notices, the carrier, which calls hosts, and the discovery client.
 
 mod answer;
 pub mod audit;
--- a/crates/http/src/notices.rs
+++ b/crates/http/src/notices.rs
@@ -1,5 +1,6 @@
-//! Notices to the platform: how a message ended that was taken on and not delivered. Each is sent at once and
-//! again until it is answered 204, to where the platform is now; one for a message that is over does no harm.
+//! Notices to the platform about accepted messages that were not delivered. Each notice is sent at once and
+//! repeated until it is answered, to the platform's current address; a notice for a message that is already
+//! finished does no harm.
 
 use crate::audit::{self, Step};
 use crate::conn::{backoff, bytes, Conn, SMALL};
@@ -12,18 +13,21 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-const WITHIN: Duration = Duration::from_millis(500);
+/// Time limit for connecting, and for the answer.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
+/// First and longest pause between failed requests.
 const RETRY_MS: (u64, u64) = (20, 500);
-/// Lines in one request.
-const MOST: usize = 200;
+/// Maximum number of notices (lines) in one request.
+const MAX_LINES_PER_REQUEST: usize = 200;
 
-/// How a message ended that was taken on and not delivered.
+/// A notice that an accepted message was not delivered.
 pub struct Notice {
-    /// The engine's number for it.
+    /// The engine's id of the message.
     pub id: u64,
-    /// The client's id for it.
+    /// The client's id of the message.
     pub call_id: String,
-    /// Whether it is deferred, and then when to come again if that is told; else it is undeliverable.
+    /// `None` for an undeliverable message; `Some` for a deferred one, with the time after which to hand it
+    /// in again if that is known, in milliseconds.
     pub deferred: Option<Option<f64>>,
 }
 
@@ -38,72 +42,76 @@
     }
 }
 
-async fn post(conn: &mut Option<Conn>, to: SocketAddr, body: String) -> Result<StatusCode, String> {
-    let mut used = match conn.take().filter(Conn::usable) {
+async fn post(conn: &mut Option<Conn>, target: SocketAddr, body: String) -> Result<StatusCode, String> {
+    let mut active = match conn.take().filter(Conn::usable) {
         Some(conn) => conn,
-        None => Conn::open(to, WITHIN).await.map_err(|e| e.to_string())?,
+        None => Conn::open(target, REQUEST_TIMEOUT).await.map_err(|e| e.to_string())?,
     };
-    let request = Request::post("/v1/outcomes").header("Host", to.to_string()).body(bytes(body));
+    let request = Request::post("/v1/outcomes").header("Host", target.to_string()).body(bytes(body));
     let request = request.map_err(|e| e.to_string())?;
-    let answer = timeout(WITHIN, used.exchange(request, WITHIN, SMALL)).await;
+    let answer = timeout(REQUEST_TIMEOUT, active.exchange(request, REQUEST_TIMEOUT, SMALL)).await;
     let answer = answer.map_err(|_| "no answer in time".to_string())?.map_err(|e| e.to_string())?;
-    *conn = Some(used);
+    *conn = Some(active);
     Ok(answer.status)
 }
 
-/// Sends what comes in, for good.
+/// Sends the notices that arrive on `inbox` until the queue or the engine is closed.
 pub async fn run(
-    mut place: watch::Receiver<SocketAddr>, mut inbox: UnboundedReceiver<Notice>, engine: Handle,
+    mut agent: watch::Receiver<SocketAddr>, mut inbox: UnboundedReceiver<Notice>, engine: Handle,
 ) {
-    let mut to = *place.borrow_and_update();
+    let mut target = *agent.borrow_and_update();
     let mut conn = None;
-    let mut waiting: Vec<Notice> = Vec::new();
-    // After a 400 the notices go one by one, so that one that can't be read holds up no other.
-    let mut most = MOST;
+    let mut pending: Vec<Notice> = Vec::new();
+    // After a 400, notices are sent one by one, so that a malformed one doesn't hold up the others.
+    let mut max_lines = MAX_LINES_PER_REQUEST;
     let mut failures = 0u32;
     loop {
-        if waiting.is_empty() {
+        if pending.is_empty() {
             match inbox.recv().await {
-                Some(notice) => waiting.push(notice),
+                Some(notice) => pending.push(notice),
                 None => return,
             }
         }
         while let Ok(notice) = inbox.try_recv() {
-            waiting.push(notice);
+            pending.push(notice);
         }
-        let address = *place.borrow_and_update();
-        if address != to {
-            // What is not confirmed is owed there.
-            (to, conn, failures) = (address, None, 0);
+        let address = *agent.borrow_and_update();
+        if address != target {
+            // Notices that are not confirmed yet go to the new address.
+            (target, conn, failures) = (address, None, 0);
         }
-        let count = waiting.len().min(most);
-        let body: String = waiting[..count].iter().map(Notice::line).collect();
+        let count = pending.len().min(max_lines);
+        let body: String = pending[..count].iter().map(Notice::line).collect();
         let posted = tokio::select! {
             biased;
-            Ok(()) = place.changed() => continue,
-            posted = post(&mut conn, to, body) => posted,
+            Ok(()) = agent.changed() => continue,
+            posted = post(&mut conn, target, body) => posted,
         };
         match posted {
-            Ok(StatusCode::BAD_REQUEST) if count > 1 => most = 1,
+            Ok(StatusCode::BAD_REQUEST) if count > 1 => max_lines = 1,
             Ok(status) if status == StatusCode::NO_CONTENT || status == StatusCode::BAD_REQUEST => {
                 if status == StatusCode::BAD_REQUEST {
-                    eprintln!("mulleinslip: a notice can't be read there: {}", waiting[0].line().trim_end());
+                    eprintln!(
+                        "mulleinslip: notices: the platform rejected a notice as malformed: {}",
+                        pending[0].line().trim_end()
+                    );
                 }
-                for notice in &waiting[..count] {
+                for notice in &pending[..count] {
                     audit::note(&notice.call_id, || Step::Notified { status: status.as_u16() });
                 }
-                let over = waiting.drain(..count).map(|n| n.id).collect();
-                if !engine.confirm(over) {
+                let confirmed = pending.drain(..count).map(|n| n.id).collect();
+                if !engine.confirm(confirmed) {
                     return;
                 }
-                (most, failures) = (if waiting.is_empty() { MOST } else { most }, 0);
+                (max_lines, failures) =
+                    (if pending.is_empty() { MAX_LINES_PER_REQUEST } else { max_lines }, 0);
             }
-            other => {
+            failure => {
                 if failures == 0 {
-                    let why = other.map_or_else(|e| e, |status| format!("answer {status}"));
-                    eprintln!("mulleinslip: notices: {why}; they are sent again");
+                    let why = failure.map_or_else(|e| e, |status| format!("HTTP status {status}"));
+                    eprintln!("mulleinslip: notices: {why}; retrying");
                 }
-                let _moved_or_not = timeout(backoff(failures, RETRY_MS), place.changed()).await;
+                let _address_changed_or_not = timeout(backoff(failures, RETRY_MS), agent.changed()).await;
                 failures = failures.saturating_add(1);
             }
         }
--- a/crates/http/src/outcomes.rs
+++ b/crates/http/src/outcomes.rs
@@ -1,24 +1,25 @@
-//! The platform's table of outcomes: what an answer of its hosts means.
+//! The platform's table of outcomes: what a host's response says about the attempt.
 
 use hyper::{HeaderMap, StatusCode};
 use linenhall::Outcome;
 
-/// The longest wait that is believed: a wait is a second or two, or until a destination that is shut opens.
-const MOST_WAIT_S: f64 = 60.0;
+/// Maximum `Retry-After` that is accepted. Hosts name a second or two, or the time until a closed destination
+/// opens.
+const MAX_RETRY_AFTER_S: f64 = 60.0;
 
-/// What an answer means, if it came whole.
+/// What a complete response says about the attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ParsedOutcome {
-    /// What the attempt came to.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// The message is over, and nothing more is owed.
+    /// Whether the message is finished, so that no further attempt is due.
     pub settled: bool,
-    /// The wait that was told with [`Outcome::Full`], else 0.
+    /// The `Retry-After` that came with [`Outcome::Full`], in milliseconds, else 0.
     pub wait_ms: f64,
 }
 
 impl ParsedOutcome {
-    /// By status and head.
+    /// Reads the outcome from the status and the headers.
     pub fn of(status: StatusCode, headers: &HeaderMap) -> ParsedOutcome {
         let (outcome, settled) = match status {
             StatusCode::OK => (Outcome::Delivered, true),
@@ -27,7 +28,7 @@
             StatusCode::SERVICE_UNAVAILABLE => (Outcome::Full, false),
             StatusCode::GATEWAY_TIMEOUT => (Outcome::NotSent, false),
             StatusCode::GONE => (Outcome::NotSent, true),
-            // 500, and what the protocol doesn't know: it may have run.
+            // 500 or a status that the protocol doesn't define: the call may have run.
             _ => (Outcome::Error, false),
         };
         let wait_ms = if outcome == Outcome::Full { retry_after_ms(headers) } else { 0.0 };
@@ -35,9 +36,9 @@
     }
 }
 
-/// `Retry-After` in milliseconds, a minute at most; 0 if there is none in seconds.
+/// Returns `Retry-After` in milliseconds, at most a minute, or 0 if the header is missing or not in seconds.
 pub fn retry_after_ms(headers: &HeaderMap) -> f64 {
     let text = headers.get("Retry-After").and_then(|v| v.to_str().ok());
     let seconds = text.and_then(|t| t.trim().parse::<f64>().ok()).filter(|s| s.is_finite());
-    seconds.map_or(0.0, |s| s.clamp(0.0, MOST_WAIT_S) * 1000.0)
+    seconds.map_or(0.0, |s| s.clamp(0.0, MAX_RETRY_AFTER_S) * 1000.0)
 }
--- a/crates/http/tests/schedule.rs
+++ b/crates/http/tests/schedule.rs
@@ -1,92 +1,97 @@
-//! When a change of the list is in force, in the worst order of events: one relay's calls, a discovery that is away for a while
-//! or lets its open watches fall silent, and a change at any moment. By the standing terms a change counts as told at the latest
-//! 6 s after discovery had it and could be reached.
+//! Checks when a change of the list is in force in the worst order of events: the calls of one relay, a
+//! discovery service that is away for a while or lets its open watches fall silent, and a change at any
+//! moment. A relay is expected to know a change at the latest 6 s after discovery had it and could be
+//! reached.
 //!
-//! Where lists are asked for among 8 relays or more it is not kept. A watch that has fallen silent is waited for 5 s and 6 s more; a
-//! call that fails just before discovery is back comes again after a pause of 1 to 16 s; a call without an answer is waited for 6 s.
-//! Shorter times kept a discovery that many share overbooked for good (docs/fleet.md), so this needs another schedule, and not
-//! other figures. `HTTP_SEEDS=N` tries more orders.
+//! Where 8 relays or more poll for the list, the limit is not met. A silent watch takes 5 s and then 6 s more
+//! to time out; a call that fails just before discovery is back is repeated after a pause of 1 to 16 s; a
+//! call without an answer times out after 6 s. Shorter times kept a shared discovery overloaded for good
+//! (docs/fleet.md), so this needs another schedule rather than other values. `HTTP_SEEDS=N` tries more
+//! orders.
 use mulleinslip_http::PollCost;
 
-/// After discovery had a change and could be reached.
-const TOLD_MS: f64 = 6000.0;
-/// A call's way and its answer's.
-const WAY_MS: f64 = 20.0;
-const END_MS: f64 = 120_000.0;
+/// Time after which a relay is expected to know a change that discovery had while it could be reached.
+const KNOWN_WITHIN_MS: f64 = 6000.0;
+/// Network time of a call and its answer.
+const NETWORK_MS: f64 = 20.0;
+/// Simulated time after which a run ends.
+const LONGEST_RUN_MS: f64 = 120_000.0;
 
 /// What discovery does while it is away.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Away {
-    /// Nothing is answered, and open watches fall silent for good.
+enum Outage {
+    /// Calls get no answer, and open watches fall silent for good.
     Silent,
-    /// Calls are refused, and open watches broken off.
+    /// Calls are refused, and open watches are broken off.
     Refusing,
 }
 
 /// One order of events, in milliseconds.
 #[derive(Debug)]
-struct Story {
-    away: (Away, f64, f64),
-    /// Watches that are open then fall silent.
-    hush: f64,
-    change: f64,
+struct Scenario {
+    outage: (Outage, f64, f64),
+    /// When open watches fall silent.
+    watches_silenced_at: f64,
+    changed_at: f64,
 }
 
-impl Story {
-    fn draw(random: &mut fastrand::Rng) -> Story {
-        let kind = if random.bool() { Away::Silent } else { Away::Refusing };
+impl Scenario {
+    fn draw(random: &mut fastrand::Rng) -> Scenario {
+        let outage_kind = if random.bool() { Outage::Silent } else { Outage::Refusing };
         let from = random.f64() * 20_000.0;
-        let away = (kind, from, from + random.f64() * 40_000.0);
-        Story { away, hush: random.f64() * 60_000.0, change: random.f64() * 60_000.0 }
+        let outage = (outage_kind, from, from + random.f64() * 40_000.0);
+        Scenario { outage, watches_silenced_at: random.f64() * 60_000.0, changed_at: random.f64() * 60_000.0 }
     }
 
-    fn is_away(&self, at: f64) -> bool {
-        (self.away.1..self.away.2).contains(&at)
+    fn is_down(&self, at: f64) -> bool {
+        (self.outage.1..self.outage.2).contains(&at)
     }
 
-    /// From when on the change counts as told: discovery could be reached for all of the time before. (A discovery that goes
-    /// away again earlier can be heard of by nobody whose watch was silent.)
-    fn told(&self) -> f64 {
-        let unbroken = self.change + TOLD_MS <= self.away.1 || self.change >= self.away.2;
-        let reached = if unbroken { self.change } else { self.away.2 };
-        reached + TOLD_MS
+    /// Returns the time from which the relay is expected to know the change: discovery could be reached for 6
+    /// s before. (If discovery goes away again sooner, a relay whose watch was silent can't learn of the
+    /// change.)
+    fn known_by(&self) -> f64 {
+        let uninterrupted =
+            self.changed_at + KNOWN_WITHIN_MS <= self.outage.1 || self.changed_at >= self.outage.2;
+        let reachable_from = if uninterrupted { self.changed_at } else { self.outage.2 };
+        reachable_from + KNOWN_WITHIN_MS
     }
 
-    /// How a watch that begins at `at` ends: when its answer comes, and whether that is one.
-    fn watch(&self, calls: PollCost, at: f64) -> (f64, bool) {
-        let wait = calls.watch().as_secs_f64() * 1000.0;
-        let given_up = at + wait + calls.patience().as_secs_f64() * 1000.0;
-        if self.is_away(at) {
-            return match self.away.0 {
-                Away::Silent => (given_up, false),
-                Away::Refusing => (at + WAY_MS, false),
+    /// Returns when a watch that begins at `at` ends and whether it ends with an answer.
+    fn watch_end(&self, poll_cost: PollCost, at: f64) -> (f64, bool) {
+        let wait_ms = poll_cost.watch_time().as_secs_f64() * 1000.0;
+        let timed_out_at = at + wait_ms + poll_cost.answer_timeout().as_secs_f64() * 1000.0;
+        if self.is_down(at) {
+            return match self.outage.0 {
+                Outage::Silent => (timed_out_at, false),
+                Outage::Refusing => (at + NETWORK_MS, false),
             };
         }
-        let answers = if self.change <= at { at } else { self.change.min(at + wait) };
-        let hushed = (at..answers).contains(&self.hush);
-        let lost = (at..answers).contains(&self.away.1);
-        match self.away.0 {
-            _ if hushed => (given_up, false),
-            Away::Silent if lost => (given_up, false),
-            Away::Refusing if lost => (self.away.1 + WAY_MS, false),
-            _ => (answers + WAY_MS, true),
+        let answered_at = if self.changed_at <= at { at } else { self.changed_at.min(at + wait_ms) };
+        let silenced = (at..answered_at).contains(&self.watches_silenced_at);
+        let cut_off = (at..answered_at).contains(&self.outage.1);
+        match self.outage.0 {
+            _ if silenced => (timed_out_at, false),
+            Outage::Silent if cut_off => (timed_out_at, false),
+            Outage::Refusing if cut_off => (self.outage.1 + NETWORK_MS, false),
+            _ => (answered_at + NETWORK_MS, true),
         }
     }
 
-    /// When the relay has the change.
-    fn in_force(&self, calls: PollCost, random: &mut fastrand::Rng) -> f64 {
+    /// Returns when the relay has the change.
+    fn in_force_at(&self, poll_cost: PollCost, random: &mut fastrand::Rng) -> f64 {
         let (mut at, mut failures) = (-random.f64() * 5000.0, 0);
-        while at < END_MS {
-            let began = at;
-            let (ends, answered) = self.watch(calls, began);
-            at = ends;
-            if answered && self.change <= ends - WAY_MS {
-                return ends;
+        while at < LONGEST_RUN_MS {
+            let started_at = at;
+            let (ended_at, answered) = self.watch_end(poll_cost, started_at);
+            at = ended_at;
+            if answered && self.changed_at <= ended_at - NETWORK_MS {
+                return ended_at;
             }
             if answered {
                 failures = 0;
             } else {
-                at += calls.pause(failures, false, random.f64()).as_secs_f64() * 1000.0;
+                at += poll_cost.pause(failures, false, random.f64()).as_secs_f64() * 1000.0;
                 failures += 1;
             }
         }
@@ -94,34 +99,41 @@
     }
 }
 
-/// The longest time from when a change counts as told until it is in force, and the order in which that comes.
-fn worst(calls: PollCost) -> (f64, String) {
+/// Returns the longest time between when the relay is expected to know a change and when it is in force, with
+/// the order of events that causes it.
+fn latest(poll_cost: PollCost) -> (f64, String) {
     let seeds = std::env::var("HTTP_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(20_000);
-    let late = (0..seeds).map(|seed| {
+    let lateness = (0..seeds).map(|seed| {
         let mut random = fastrand::Rng::with_seed(seed);
-        let story = Story::draw(&mut random);
-        (story.in_force(calls, &mut random) - story.told(), format!("seed {seed}: {story:?}"))
+        let scenario = Scenario::draw(&mut random);
+        (
+            scenario.in_force_at(poll_cost, &mut random) - scenario.known_by(),
+            format!("seed {seed}: {scenario:?}"),
+        )
     });
-    late.max_by(|a, b| a.0.total_cmp(&b.0)).expect("some seeds")
+    lateness.max_by(|a, b| a.0.total_cmp(&b.0)).expect("some seeds")
 }
 
+/// The list is pushed to an agent on the relay's own machine, however many relays there are.
 #[test]
 fn a_change_of_a_list_that_is_pushed_is_in_force_in_time() {
-    let (late_ms, order) = worst(PollCost::of(300, false));
-    println!("{late_ms:.0} ms after it counts as told, {order}");
-    assert!(late_ms <= 0.0, "{late_ms:.0} ms late, {order}");
+    let (late_ms, scenario) = latest(PollCost::of(300, false));
+    println!("{late_ms:.0} ms after it is expected to be known, {scenario}");
+    assert!(late_ms <= 0.0, "{late_ms:.0} ms too late, {scenario}");
 }
 
+/// Few relays poll a discovery service: calls are as frequent as with a pushed list.
 #[test]
 fn a_change_of_a_list_that_is_asked_for_among_few_is_in_force_in_time() {
-    let (late_ms, order) = worst(PollCost::of(7, true));
-    println!("{late_ms:.0} ms after it counts as told, {order}");
-    assert!(late_ms <= 0.0, "{late_ms:.0} ms late, {order}");
+    let (late_ms, scenario) = latest(PollCost::of(7, true));
+    println!("{late_ms:.0} ms after it is expected to be known, {scenario}");
+    assert!(late_ms <= 0.0, "{late_ms:.0} ms too late, {scenario}");
 }
 
+/// Many relays poll a discovery service: fails as described at the top, see KNOWN-RED.txt.
 #[test]
 fn a_change_of_a_list_that_is_asked_for_among_many_is_in_force_in_time() {
-    let (late_ms, order) = worst(PollCost::of(8, true));
-    println!("{late_ms:.0} ms after it counts as told, {order}");
-    assert!(late_ms <= 0.0, "{late_ms:.0} ms late, {order}");
+    let (late_ms, scenario) = latest(PollCost::of(8, true));
+    println!("{late_ms:.0} ms after it is expected to be known, {scenario}");
+    assert!(late_ms <= 0.0, "{late_ms:.0} ms too late, {scenario}");
 }
