--- a/crates/http/src/client_connection.rs
+++ b/crates/http/src/client_connection.rs
@@ -1,5 +1,5 @@
-//! What is known of a client connection: whose turn it is and since when, and a look at each head for what hyper
-//! settles silently.
+//! State of a client connection: its request phase and since when, and a check of each request's framing for
+//! what hyper doesn't report.
 
 use crate::audit::{self, Step};
 use std::cell::{Cell, RefCell};
@@ -8,336 +8,361 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// A connection on which no request is open may be closed after 2 s. Some clients ask once and stay for good.
-const IDLE: Duration = Duration::from_millis(2050);
-/// From a request's first byte to its last. A client waits 400 ms for its answer, so what takes twice as long
-/// is of no use to it; with [`IDLE`] before it, this stays within the 3 s in which any client is owed an end.
-const REQUEST: Duration = Duration::from_millis(800);
-/// The longest head; one of a message has some 300 bytes. hyper buffers no more either.
-pub const MOST_HEAD: usize = 16 * 1024;
-/// As many header lines as hyper takes.
-const MOST_HEADERS: usize = 100;
-
-/// The longest request with its head; chunks may take more room than their body.
-const MOST_RAW: usize = MOST_HEAD + 96 * 1024;
-
-/// What has come on a connection and is not answered, as it came, so that another process can read it anew.
+/// Idle time after which a connection is closed; the protocol allows that after 2 s without an open request.
+/// Some clients send one request and stay connected forever.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2050);
+/// Time limit from a request's first byte to its last. A client waits 400 ms for its answer, so a request
+/// that takes twice as long is useless to it. Together with [`IDLE_TIMEOUT`] it stays within the 3 s in
+/// which each client must have an answer or see the connection closed.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
+/// Maximum size of a request's head, which is also hyper's buffer size. The head of a message has about 300
+/// bytes.
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Maximum number of headers, the same as hyper's.
+const MAX_HEADERS: usize = 100;
+
+/// Maximum size of a request with its head; chunked encoding may make it larger than its body.
+const MAX_UNANSWERED_BYTES: usize = MAX_HEAD_BYTES + 96 * 1024;
+
+/// The input of a connection that is not answered yet, as received, so that another process can read it
+/// again.
 #[derive(Default)]
-struct Raw {
+struct UnansweredInput {
     bytes: Vec<u8>,
-    /// Lengths of the whole requests among them.
-    whole: VecDeque<usize>,
-    /// Bytes of the one that is coming.
-    coming: usize,
-    /// It had to be cut: nobody can read it anew.
-    cut: bool,
+    /// Lengths of the complete requests in `bytes`.
+    complete_lengths: VecDeque<usize>,
+    /// Number of bytes received of the incomplete request.
+    incomplete_bytes: usize,
+    /// The input was too large to keep, so no process can read it again.
+    too_large: bool,
 }
 
-impl Raw {
-    fn came(&mut self, bytes: &[u8]) {
-        if self.cut || self.bytes.len() + bytes.len() > MOST_RAW {
-            *self = Raw { cut: true, ..Raw::default() };
+impl UnansweredInput {
+    /// Appends received bytes, unless the input becomes too large to keep.
+    fn append(&mut self, bytes: &[u8]) {
+        if self.too_large || self.bytes.len() + bytes.len() > MAX_UNANSWERED_BYTES {
+            *self = UnansweredInput { too_large: true, ..UnansweredInput::default() };
             return;
         }
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// So many more bytes belong to the request that is coming.
-    fn belong(&mut self, count: usize) {
-        self.coming += count;
+    /// Adds bytes to the length of the incomplete request.
+    fn add_to_incomplete(&mut self, count: usize) {
+        self.incomplete_bytes += count;
     }
 
-    fn request_is_whole(&mut self) {
-        self.whole.push_back(std::mem::take(&mut self.coming));
+    /// Records that the incomplete request is complete.
+    fn complete_request(&mut self) {
+        self.complete_lengths.push_back(std::mem::take(&mut self.incomplete_bytes));
     }
 
-    fn answered(&mut self) {
-        let first = self.whole.pop_front().unwrap_or(0).min(self.bytes.len());
+    /// Discards the first complete request, as it is answered.
+    fn discard_first(&mut self) {
+        let first = self.complete_lengths.pop_front().unwrap_or(0).min(self.bytes.len());
         self.bytes.drain(..first);
     }
 }
 
+/// How far the current request of a connection has come.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestPhase {
     /// No request is open.
     Idle,
-    /// A request has begun to come.
+    /// A request is being received.
     Reading,
-    /// It is whole and waits for its answer.
+    /// The request is complete and waits for its answer.
     Answering,
 }
 
-/// How a connection has to leave, the sterner the later.
+/// How a connection has to close, in increasing strictness.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseMode {
-    /// It need not.
-    No,
-    /// After the request at hand, or at once if one was answered and none is at hand. One that is new may still bring its
-    /// first.
+    /// The connection stays open.
+    KeepOpen,
+    /// Closes after the current request, or at once if one was answered and none is open. A new connection
+    /// may still send its first request.
     AfterAnswer,
-    /// As soon as no request is at hand.
-    WhenQuiet,
-    /// And a request that is not whole has taken too long.
-    TooSlow,
-    /// And a request that is not whole is refused.
-    Now,
+    /// Closes as soon as no request is open.
+    WhenIdle,
+    /// As `WhenIdle`, and an incomplete request is answered with 408, as it took too long.
+    RequestTimeout,
+    /// As `WhenIdle`, and an incomplete request is answered with 503.
+    RefuseIncomplete,
 }
 
-/// Where the next byte of a connection belongs.
-enum Framing {
+/// The part of a request that the next byte of a connection belongs to.
+enum InputPosition {
+    /// In a head, with its bytes so far.
     Head(Vec<u8>),
+    /// In a body, with the number of bytes that are missing.
     Body(u64),
-    /// Nothing more is looked at: no request is taken after this one.
-    Last,
+    /// Further input is not examined, as no request is accepted after this one.
+    Ignored,
 }
 
-/// What is known of a client connection.
+/// State of a client connection.
 pub struct ClientConnection {
-    pub turn: Cell<RequestPhase>,
-    pub since: Cell<Instant>,
-    framing: RefCell<Framing>,
-    raw: RefCell<Raw>,
-    /// An answer is on its way out.
-    answering: Cell<bool>,
-    /// A head came whose length can be read in two ways: another request may hide in the body.
-    ambiguous: Cell<bool>,
-    leave: Cell<CloseMode>,
-    /// Told to leave: it is to be looked at.
-    pub told: Notify,
-    /// A request was answered.
-    served: Cell<bool>,
-    /// It is closed on this side.
-    pub lingers: Cell<bool>,
-    /// Its place is needed, and it lingers.
-    pub hurry: Notify,
-    /// Shared by all: too many are here for idle ones to be kept.
-    crowded: Rc<Cell<bool>>,
-    /// Its number among the connections of this process.
+    /// The phase of the current request.
+    pub phase: Cell<RequestPhase>,
+    /// When the phase began.
+    pub phase_since: Cell<Instant>,
+    position: RefCell<InputPosition>,
+    unanswered: RefCell<UnansweredInput>,
+    /// An answer is being written.
+    writing_answer: Cell<bool>,
+    /// A head with an ambiguous length was received: another request may hide in the body.
+    is_ambiguous: Cell<bool>,
+    close_mode: Cell<CloseMode>,
+    /// Signals that `close_mode` was raised.
+    pub close_requested: Notify,
+    /// At least one request was answered.
+    has_answered: Cell<bool>,
+    /// This side of the connection is closed, and the client's side is awaited.
+    pub awaiting_client_close: Cell<bool>,
+    /// Ends the wait for the client's side, as the connection's permit is needed.
+    pub permit_needed: Notify,
+    /// Shared by all connections: there are too many to keep idle ones open.
+    above_keep_alive_limit: Rc<Cell<bool>>,
+    /// Number of the connection in this process.
     pub number: u64,
-    /// The message whose answer is not written yet, where an audit is kept.
-    audited: RefCell<Option<String>>,
+    /// Id of the message whose answer is not written yet, while the audit log is on.
+    audited_call_id: RefCell<Option<String>>,
 }
 
 impl ClientConnection {
-    pub fn new(number: u64, crowded: Rc<Cell<bool>>) -> ClientConnection {
+    /// Creates the state of a new connection.
+    pub fn new(number: u64, above_keep_alive_limit: Rc<Cell<bool>>) -> ClientConnection {
         ClientConnection {
-            turn: Cell::new(RequestPhase::Idle),
-            since: Cell::new(Instant::now()),
-            framing: RefCell::new(Framing::Head(Vec::new())),
-            raw: RefCell::default(),
-            answering: Cell::new(false),
-            ambiguous: Cell::new(false),
-            leave: Cell::new(CloseMode::No),
-            told: Notify::new(),
-            served: Cell::new(false),
-            lingers: Cell::new(false),
-            hurry: Notify::new(),
-            crowded,
+            phase: Cell::new(RequestPhase::Idle),
+            phase_since: Cell::new(Instant::now()),
+            position: RefCell::new(InputPosition::Head(Vec::new())),
+            unanswered: RefCell::default(),
+            writing_answer: Cell::new(false),
+            is_ambiguous: Cell::new(false),
+            close_mode: Cell::new(CloseMode::KeepOpen),
+            close_requested: Notify::new(),
+            has_answered: Cell::new(false),
+            awaiting_client_close: Cell::new(false),
+            permit_needed: Notify::new(),
+            above_keep_alive_limit,
             number,
-            audited: RefCell::default(),
+            audited_call_id: RefCell::default(),
         }
     }
 
-    fn turn(&self, turn: RequestPhase) {
-        if self.turn.replace(turn) != turn {
-            self.since.set(Instant::now());
+    fn set_phase(&self, phase: RequestPhase) {
+        if self.phase.replace(phase) != phase {
+            self.phase_since.set(Instant::now());
         }
     }
 
-    pub fn reading(&self) {
-        self.turn(RequestPhase::Reading);
+    /// Called when a request's head is received.
+    pub fn set_reading(&self) {
+        self.set_phase(RequestPhase::Reading);
     }
 
-    pub fn answering(&self) {
-        self.turn(RequestPhase::Answering);
+    /// Called when the request is complete and submitted.
+    pub fn set_answering(&self) {
+        self.set_phase(RequestPhase::Answering);
     }
 
-    /// The request is answered; that has still to be written.
-    pub fn idle(&self) {
-        self.raw.borrow_mut().answered();
-        self.served.set(true);
-        // What came along with the request that is answered may be a part of the next one.
-        self.turn(if self.between_requests() { RequestPhase::Idle } else { RequestPhase::Reading });
-        self.answering.set(true);
+    /// Called when the request has its answer, which is still to be written.
+    pub fn request_answered(&self) {
+        self.unanswered.borrow_mut().discard_first();
+        self.has_answered.set(true);
+        // Input received along with the answered request may be part of the next one.
+        self.set_phase(if self.is_between_requests() { RequestPhase::Idle } else { RequestPhase::Reading });
+        self.writing_answer.set(true);
     }
 
-    /// No byte has come that belongs to a request without an answer.
-    fn between_requests(&self) -> bool {
-        let raw = self.raw.borrow();
-        match &*self.framing.borrow() {
-            Framing::Head(head) => head.is_empty() && raw.whole.is_empty(),
-            Framing::Body(_) => false,
-            // Nothing more is taken.
-            Framing::Last => true,
+    /// Returns whether no received byte belongs to an unanswered request.
+    fn is_between_requests(&self) -> bool {
+        let unanswered = self.unanswered.borrow();
+        match &*self.position.borrow() {
+            InputPosition::Head(head) => head.is_empty() && unanswered.complete_lengths.is_empty(),
+            InputPosition::Body(_) => false,
+            // No further request is accepted.
+            InputPosition::Ignored => true,
         }
     }
 
-    /// Nobody is owed anything on it, by the bytes that were read.
-    pub fn quiet(&self) -> bool {
-        self.turn.get() == RequestPhase::Idle && !self.unwritten() && self.between_requests()
+    /// Returns whether no request is open and no answer is being written, as far as input was read.
+    pub fn is_idle(&self) -> bool {
+        self.phase.get() == RequestPhase::Idle && !self.is_writing_answer() && self.is_between_requests()
     }
 
-    /// A part of a request has come, and no answer to it is due or on its way out.
-    pub fn half_read(&self) -> bool {
-        self.turn.get() == RequestPhase::Reading && !self.unwritten()
+    /// Returns whether a part of a request was received, and no answer is being written.
+    pub fn has_incomplete_request(&self) -> bool {
+        self.phase.get() == RequestPhase::Reading && !self.is_writing_answer()
     }
 
-    /// Whether it is to go, and may: by the bytes that were read.
-    pub fn may_go(&self) -> bool {
-        match self.leave.get() {
-            CloseMode::No => false,
-            CloseMode::AfterAnswer => self.quiet() && self.served.get(),
-            CloseMode::WhenQuiet => self.quiet(),
-            CloseMode::TooSlow | CloseMode::Now => self.quiet() || self.half_read(),
+    /// Returns whether the connection has to close and may do so now, as far as input was read.
+    pub fn may_close(&self) -> bool {
+        match self.close_mode.get() {
+            CloseMode::KeepOpen => false,
+            CloseMode::AfterAnswer => self.is_idle() && self.has_answered.get(),
+            CloseMode::WhenIdle => self.is_idle(),
+            CloseMode::RequestTimeout | CloseMode::RefuseIncomplete => {
+                self.is_idle() || self.has_incomplete_request()
+            }
         }
     }
 
-    /// How it has to leave.
-    pub fn leaves(&self) -> CloseMode {
-        self.leave.get()
+    /// Returns how the connection has to close.
+    pub fn close_mode(&self) -> CloseMode {
+        self.close_mode.get()
     }
 
-    /// It has to leave, this way or the sterner one that it was told before.
-    pub fn dismiss(&self, how: CloseMode) {
-        self.leave.set(how.max(self.leave.get()));
-        self.told.notify_one();
+    /// Asks the connection to close in this mode, or in the stricter one that was requested before.
+    pub fn request_close(&self, mode: CloseMode) {
+        self.close_mode.set(mode.max(self.close_mode.get()));
+        self.close_requested.notify_one();
     }
 
-    /// All that was to be written is.
-    pub fn flushed(&self) {
-        if self.answering.replace(false) {
-            if let Some(id) = self.audited.take() {
+    /// Called when everything that hyper had to write is written.
+    pub fn on_flushed(&self) {
+        if self.writing_answer.replace(false) {
+            if let Some(id) = self.audited_call_id.take() {
                 audit::note(&id, || Step::AnswerWritten { client: self.number });
             }
         }
     }
 
-    /// This message has been read on it and is answered next.
-    pub fn audit(&self, call_id: &str) {
+    /// Records for the audit log that this message was read from the connection and is answered next.
+    pub fn audit_call(&self, call_id: &str) {
         if audit::enabled() {
-            self.audited.replace(Some(call_id.to_string()));
+            self.audited_call_id.replace(Some(call_id.to_string()));
         }
     }
 
-    /// It is gone.
-    pub fn gone(&self) {
-        if let Some(id) = self.audited.take() {
+    /// Called when the connection is closed.
+    pub fn on_closed(&self) {
+        if let Some(id) = self.audited_call_id.take() {
             audit::note(&id, || Step::ClientGone { client: self.number });
         }
     }
 
-    /// Whether an answer is on its way out.
-    pub fn unwritten(&self) -> bool {
-        self.answering.get()
+    /// Returns whether an answer is being written.
+    pub fn is_writing_answer(&self) -> bool {
+        self.writing_answer.get()
     }
 
-    /// What another process has to read to go on with this connection. `None` if it must not: an answer is due or
-    /// on its way out, or what has come can't be read anew.
-    pub fn hand_over(&self) -> Option<Vec<u8>> {
-        let raw = self.raw.borrow();
-        let busy = self.turn.get() == RequestPhase::Answering || self.answering.get();
-        (!busy && !raw.cut && self.leave.get() < CloseMode::WhenQuiet).then(|| raw.bytes.clone())
+    /// Returns the input that another process needs to continue with this connection, or `None` if it must
+    /// not: an answer is pending or being written, or the input can't be read again.
+    pub fn input_to_hand_over(&self) -> Option<Vec<u8>> {
+        let unanswered = self.unanswered.borrow();
+        let pending = self.phase.get() == RequestPhase::Answering || self.writing_answer.get();
+        (!pending && !unanswered.too_large && self.close_mode.get() < CloseMode::WhenIdle)
+            .then(|| unanswered.bytes.clone())
     }
 
-    /// When the request that is coming must be there.
-    pub fn deadline(&self) -> Instant {
-        self.since.get() + REQUEST
+    /// Returns the time by which the request must be complete.
+    pub fn request_deadline(&self) -> Instant {
+        self.phase_since.get() + REQUEST_TIMEOUT
     }
 
-    /// Whether nothing that comes on this connection may be taken any more.
-    pub fn ambiguous(&self) -> bool {
-        self.ambiguous.get()
+    /// Returns whether the framing of a request was ambiguous, after which no input may be processed.
+    pub fn is_ambiguous(&self) -> bool {
+        self.is_ambiguous.get()
     }
 
-    /// Whether this connection takes no request after the one at hand.
-    pub fn ends(&self) -> bool {
-        self.ambiguous.get()
-            || self.crowded.get()
-            || self.leave.get() > CloseMode::No
-            || matches!(*self.framing.borrow(), Framing::Last)
+    /// Returns whether the connection closes after the current request.
+    pub fn closes_after_request(&self) -> bool {
+        self.is_ambiguous.get()
+            || self.above_keep_alive_limit.get()
+            || self.close_mode.get() > CloseMode::KeepOpen
+            || matches!(*self.position.borrow(), InputPosition::Ignored)
     }
 
-    pub fn overstays(&self, now: Instant) -> bool {
-        let most = match self.turn.get() {
-            RequestPhase::Idle => IDLE,
-            RequestPhase::Reading => REQUEST,
-            // The module answers each request in the round that takes it.
+    /// Returns whether the connection has been idle, or its request incomplete, for too long.
+    pub fn exceeds_time_limit(&self, now: Instant) -> bool {
+        let limit = match self.phase.get() {
+            RequestPhase::Idle => IDLE_TIMEOUT,
+            RequestPhase::Reading => REQUEST_TIMEOUT,
+            // The decision module answers each request in the round that accepts it.
             RequestPhase::Answering => return false,
         };
-        now.saturating_duration_since(self.since.get()) > most
+        now.saturating_duration_since(self.phase_since.get()) > limit
     }
 
-    /// Looks at what was read, before hyper does.
-    pub fn saw(&self, mut bytes: &[u8]) {
-        let mut framing = self.framing.borrow_mut();
-        let mut raw = self.raw.borrow_mut();
-        raw.came(bytes);
+    /// Examines input before hyper gets it.
+    pub fn examine_input(&self, mut bytes: &[u8]) {
+        let mut position = self.position.borrow_mut();
+        let mut unanswered = self.unanswered.borrow_mut();
+        unanswered.append(bytes);
         while !bytes.is_empty() {
-            match &mut *framing {
-                Framing::Last => return,
-                Framing::Body(left) => {
-                    let part = (bytes.len() as u64).min(*left);
-                    *left -= part;
-                    bytes = bytes.get(part as usize..).unwrap_or_default();
-                    raw.belong(part as usize);
+            match &mut *position {
+                InputPosition::Ignored => return,
+                InputPosition::Body(left) => {
+                    let count = (bytes.len() as u64).min(*left);
+                    *left -= count;
+                    bytes = bytes.get(count as usize..).unwrap_or_default();
+                    unanswered.add_to_incomplete(count as usize);
                     if *left == 0 {
-                        raw.request_is_whole();
-                        *framing = Framing::Head(Vec::new());
+                        unanswered.complete_request();
+                        *position = InputPosition::Head(Vec::new());
                     }
                 }
-                Framing::Head(head) => {
-                    if self.turn.get() == RequestPhase::Idle {
-                        self.turn(RequestPhase::Reading);
+                InputPosition::Head(head) => {
+                    if self.phase.get() == RequestPhase::Idle {
+                        self.set_phase(RequestPhase::Reading);
                     }
-                    let had = head.len();
+                    let previous_len = head.len();
                     head.extend_from_slice(bytes);
-                    let (next, length) = match framed(head) {
-                        Framed::Partial if head.len() < MOST_HEAD => {
-                            raw.belong(bytes.len());
+                    let (next, length) = match parse_head(head) {
+                        ParsedHead::Incomplete if head.len() < MAX_HEAD_BYTES => {
+                            unanswered.add_to_incomplete(bytes.len());
                             return;
                         }
-                        // hyper will turn it away; nothing after it is read.
-                        Framed::Partial | Framed::Unreadable => (Framing::Last, head.len()),
-                        Framed::Ambiguous => {
-                            self.ambiguous.set(true);
-                            (Framing::Last, head.len())
+                        // hyper rejects the request; no input after it is processed.
+                        ParsedHead::Incomplete | ParsedHead::Malformed => {
+                            (InputPosition::Ignored, head.len())
+                        }
+                        ParsedHead::Ambiguous => {
+                            self.is_ambiguous.set(true);
+                            (InputPosition::Ignored, head.len())
                         }
-                        Framed::Chunked(length) => (Framing::Last, length),
-                        Framed::Whole(length, 0) => (Framing::Head(Vec::new()), length),
-                        Framed::Whole(length, body) => (Framing::Body(body), length),
+                        ParsedHead::Chunked(length) => (InputPosition::Ignored, length),
+                        ParsedHead::Sized(length, 0) => (InputPosition::Head(Vec::new()), length),
+                        ParsedHead::Sized(length, body) => (InputPosition::Body(body), length),
                     };
-                    raw.belong(length.saturating_sub(had));
-                    if matches!(next, Framing::Head(_)) {
-                        raw.request_is_whole();
+                    unanswered.add_to_incomplete(length.saturating_sub(previous_len));
+                    if matches!(next, InputPosition::Head(_)) {
+                        unanswered.complete_request();
                     }
-                    bytes = bytes.get(length.saturating_sub(had)..).unwrap_or_default();
-                    *framing = next;
+                    bytes = bytes.get(length.saturating_sub(previous_len)..).unwrap_or_default();
+                    *position = next;
                 }
             }
         }
     }
 }
 
-enum Framed {
-    Partial,
-    Unreadable,
-    /// Its length can be read in two ways.
+/// How a request is framed.
+enum ParsedHead {
+    /// The head is not complete.
+    Incomplete,
+    /// Not a valid head.
+    Malformed,
+    /// The length of the body is ambiguous.
     Ambiguous,
-    /// A head of this length; the body says itself where it ends.
+    /// A head of this length; the body is chunked.
     Chunked(usize),
-    /// A head of this length and a body of that one.
-    Whole(usize, u64),
+    /// A head of the first length and a body of the second.
+    Sized(usize, u64),
 }
 
-/// How the request at the start of `bytes` is framed. hyper takes `Transfer-Encoding` where there is a
-/// `Content-Length` as well and drops the other, so the service could not tell.
-fn framed(bytes: &[u8]) -> Framed {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+/// Parses the head at the start of `bytes` and determines the length of the body. If a request has both
+/// `Transfer-Encoding` and `Content-Length`, hyper uses the first and removes the second, so the service
+/// could not detect the conflict.
+fn parse_head(bytes: &[u8]) -> ParsedHead {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let length = match request.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) => return Framed::Partial,
-        Err(_) => return Framed::Unreadable,
+        Ok(httparse::Status::Partial) => return ParsedHead::Incomplete,
+        Err(_) => return ParsedHead::Malformed,
     };
     let all = |name: &'static str| {
         request
@@ -348,15 +373,15 @@
     };
     let (mut lengths, mut encodings) = (all("Content-Length"), all("Transfer-Encoding"));
     match (lengths.next(), encodings.next()) {
-        _ if lengths.next().is_some() || encodings.next().is_some() => Framed::Ambiguous,
-        (Some(_), Some(_)) => Framed::Ambiguous,
-        (None, Some(encoding)) if encoding.eq_ignore_ascii_case(b"chunked") => Framed::Chunked(length),
-        (None, Some(_)) => Framed::Ambiguous,
-        (None, None) => Framed::Whole(length, 0),
+        _ if lengths.next().is_some() || encodings.next().is_some() => ParsedHead::Ambiguous,
+        (Some(_), Some(_)) => ParsedHead::Ambiguous,
+        (None, Some(encoding)) if encoding.eq_ignore_ascii_case(b"chunked") => ParsedHead::Chunked(length),
+        (None, Some(_)) => ParsedHead::Ambiguous,
+        (None, None) => ParsedHead::Sized(length, 0),
         (Some(body), None) => {
             let digits = !body.is_empty() && body.iter().all(u8::is_ascii_digit);
             let body = std::str::from_utf8(body).ok().filter(|_| digits).and_then(|b| b.parse().ok());
-            body.map_or(Framed::Ambiguous, |body| Framed::Whole(length, body))
+            body.map_or(ParsedHead::Ambiguous, |body| ParsedHead::Sized(length, body))
         }
     }
 }
--- a/crates/http/src/clients.rs
+++ b/crates/http/src/clients.rs
@@ -1,7 +1,6 @@
-//! Client connections: how many there may be, and the end of those that say nothing or take too long. What a
-//! request says is intake.rs's job.
+//! Client connections: their number, time limits, draining and handover. Requests are handled in intake.rs.
 
-use crate::client_connection::{ClientConnection, CloseMode, RequestPhase, MOST_HEAD};
+use crate::client_connection::{ClientConnection, CloseMode, RequestPhase, MAX_HEAD_BYTES};
 use crate::close::{self, Socket};
 use crate::intake::{DrainMode, Intake};
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -22,340 +21,395 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::{watch, Semaphore};
 
-const SWEEP: Duration = Duration::from_millis(50);
-/// How long one more connection waits for a place that was taken from another. Closing that one takes one turn
-/// of the event loop.
-const PLACE: Duration = Duration::from_millis(200);
-/// From health's no until answers close their connections: the front asks ten times a second, and sends nobody new
-/// 0.2 s after a no.
-const DRAIN_CLOSING: Duration = Duration::from_millis(300);
-/// And until connections are closed that stand idle. Those in use have got their closing answer by then, which
-/// crosses no request; only such a close may.
-const DRAIN_IDLE: Duration = Duration::from_millis(2300);
-/// And until those are left whose request does not come whole: 4 s after the call nobody may be here.
-const DRAIN_ALL: Duration = Duration::from_millis(3600);
-/// How often it is looked at whether anybody is left when the process ends.
-const FINISH_LOOK: Duration = Duration::from_millis(5);
-/// What is read at once.
-const READ: usize = 4096;
+/// Interval at which time limits are checked.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
+/// Time that a new connection waits for the permit of a connection that was asked to close, which takes one
+/// iteration of the event loop.
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time from the failing health check until answers close their connections: the load balancer in front
+/// checks ten times a second and sends no new clients from 0.2 s after a failed check.
+const DRAIN_CLOSING_AFTER: Duration = Duration::from_millis(300);
+/// Time until idle connections are closed. By then, those in use have had an answer that closes the
+/// connection, which can't cross a request; a close of an idle connection can.
+const DRAIN_IDLE_AFTER: Duration = Duration::from_millis(2300);
+/// Time until connections with an incomplete request are closed: no client may be connected 4 s after the
+/// call.
+const DRAIN_ALL_AFTER: Duration = Duration::from_millis(3600);
+/// Interval of the check for remaining connections when the process ends.
+const FINISH_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Maximum number of bytes per read.
+const READ_BUFFER_BYTES: usize = 4096;
 
-/// A client's socket, as hyper reads and writes it.
-struct Watched {
-    io: Socket,
-    /// What an earlier process had read of it and not answered, and how far that has been read anew.
-    before: (Vec<u8>, usize),
+/// A client's socket as hyper reads and writes it, with all input passed to `connection` first.
+struct ObservedSocket {
+    socket: Socket,
+    /// Unanswered input that an earlier process had read, and how much of it was read again.
+    replay: (Vec<u8>, usize),
     connection: Rc<ClientConnection>,
 }
 
-/// A client's connection on its way from one process to the next.
+/// A client's connection that is handed over from one process to the next.
 #[derive(Debug)]
 pub struct HandedOverConnection {
     /// The connection.
     pub stream: std::net::TcpStream,
-    /// What has come on it and is not answered.
+    /// The input that was received on it and is not answered.
     pub unread: Vec<u8>,
 }
 
-impl Read for Watched {
+impl Read for ObservedSocket {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, mut buf: ReadBufCursor) -> Poll<io::Result<()>> {
-        let mut bytes = [MaybeUninit::uninit(); READ];
-        let most = buf.remaining().min(READ);
-        let (before, at) = &mut self.before;
-        if *at < before.len() {
-            let more = before.get(*at..).unwrap_or_default();
-            let more = more.get(..most).unwrap_or(more).to_vec();
-            *at += more.len();
-            if *at == before.len() {
-                self.before = (Vec::new(), 0);
+        let mut bytes = [MaybeUninit::uninit(); READ_BUFFER_BYTES];
+        let max_bytes = buf.remaining().min(READ_BUFFER_BYTES);
+        let (replay, position) = &mut self.replay;
+        if *position < replay.len() {
+            let chunk = replay.get(*position..).unwrap_or_default();
+            let chunk = chunk.get(..max_bytes).unwrap_or(chunk).to_vec();
+            *position += chunk.len();
+            if *position == replay.len() {
+                self.replay = (Vec::new(), 0);
             }
-            self.connection.saw(&more);
-            buf.put_slice(&more);
+            self.connection.examine_input(&chunk);
+            buf.put_slice(&chunk);
             return Poll::Ready(Ok(()));
         }
-        let mut read = ReadBuf::uninit(&mut bytes[..most]);
-        std::task::ready!(Pin::new(&mut *self.io.borrow_mut()).poll_read(cx, &mut read))?;
-        self.connection.saw(read.filled());
+        let mut read = ReadBuf::uninit(&mut bytes[..max_bytes]);
+        std::task::ready!(Pin::new(&mut *self.socket.borrow_mut()).poll_read(cx, &mut read))?;
+        self.connection.examine_input(read.filled());
         buf.put_slice(read.filled());
         Poll::Ready(Ok(()))
     }
 }
 
-impl Write for Watched {
+impl Write for ObservedSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
-        Pin::new(&mut *self.io.borrow_mut()).poll_write(cx, buf)
+        Pin::new(&mut *self.socket.borrow_mut()).poll_write(cx, buf)
     }
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        // Asked for when nothing is left to be written.
-        self.connection.flushed();
-        Pin::new(&mut *self.io.borrow_mut()).poll_flush(cx)
+        // hyper flushes when it has nothing left to write.
+        self.connection.on_flushed();
+        Pin::new(&mut *self.socket.borrow_mut()).poll_flush(cx)
     }
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        Pin::new(&mut *self.io.borrow_mut()).poll_shutdown(cx)
+        Pin::new(&mut *self.socket.borrow_mut()).poll_shutdown(cx)
     }
 }
 
 /// All client connections.
 pub struct Clients {
     intake: Rc<Intake>,
-    places: Arc<Semaphore>,
-    guests: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
-    /// From so many on, an answer closes its connection. Clients hold only so many of their own, and one that
-    /// asks once and stays takes one of them for 2 s from a client that has something to hand in.
-    crowd: usize,
-    crowded: Rc<Cell<bool>>,
-    /// Ends connections that stand idle.
-    close: watch::Sender<bool>,
-    /// Counts the calls to drain and to end that.
-    drains: Cell<u64>,
-    numbers: Cell<u64>,
-    /// Where connections go once another process goes on.
-    pass: watch::Sender<Option<UnboundedSender<HandedOverConnection>>>,
+    /// One permit for each connection that may be open.
+    permits: Arc<Semaphore>,
+    /// Open connections by number.
+    connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
+    /// Number of connections above which each answer closes its connection. Clients have a limited number of
+    /// connections, and one that sends one request and stays connected occupies one of them for 2 s that
+    /// another client needs.
+    keep_alive_limit: usize,
+    /// Whether there are more connections than that; shared with each connection.
+    above_keep_alive_limit: Rc<Cell<bool>>,
+    /// Asks idle connections to close.
+    idle_close: watch::Sender<bool>,
+    /// Counts the calls that start or end draining.
+    drain_changes: Cell<u64>,
+    /// Number of the next connection.
+    next_number: Cell<u64>,
+    /// Where connections are sent once another process takes over.
+    handover_target: watch::Sender<Option<UnboundedSender<HandedOverConnection>>>,
 }
 
 impl Clients {
-    pub fn new(intake: Rc<Intake>, most: usize) -> Rc<Clients> {
-        let (places, crowd) = (Arc::new(Semaphore::new(most)), most / 2);
-        let (guests, crowded, drains) = (RefCell::default(), Rc::default(), Cell::default());
-        let (close, pass, numbers) = (watch::Sender::new(false), watch::Sender::new(None), Cell::default());
-        Rc::new(Clients { intake, places, guests, crowd, crowded, close, drains, numbers, pass })
+    /// Creates the set of client connections, which holds at most `max_connections`.
+    pub fn new(intake: Rc<Intake>, max_connections: usize) -> Rc<Clients> {
+        let (permits, keep_alive_limit) = (Arc::new(Semaphore::new(max_connections)), max_connections / 2);
+        let (connections, above_keep_alive_limit, drain_changes) =
+            (RefCell::default(), Rc::default(), Cell::default());
+        let (idle_close, handover_target, next_number) =
+            (watch::Sender::new(false), watch::Sender::new(None), Cell::default());
+        Rc::new(Clients {
+            intake,
+            permits,
+            connections,
+            keep_alive_limit,
+            above_keep_alive_limit,
+            idle_close,
+            drain_changes,
+            next_number,
+            handover_target,
+        })
     }
 
-    /// Ends connections that stand idle, now and later, until [`Clients::drain`] ends.
+    /// Closes idle connections, now and later, until [`Clients::drain`] is turned off.
     pub fn close_idle(&self) {
-        self.close.send_replace(true);
+        self.idle_close.send_replace(true);
     }
 
-    /// Sends clients elsewhere, or takes them again. First health says no; once the front has seen that, each answer
-    /// closes its connection, and later whoever is still here is left. Nothing that is handed in is turned away for it.
+    /// Starts or stops draining clients. First the health check fails; once the load balancer has seen that,
+    /// each answer closes its connection, and later the remaining connections are closed. No message is
+    /// rejected because of it.
     pub fn drain(self: &Rc<Self>, on: bool) {
         let already = self.intake.away.get() > DrainMode::No;
         if on == already {
             return;
         }
-        self.drains.set(self.drains.get() + 1);
+        self.drain_changes.set(self.drain_changes.get() + 1);
         if !on {
             self.intake.away.set(DrainMode::No);
-            self.close.send_replace(false);
+            self.idle_close.send_replace(false);
             return;
         }
-        self.intake.away.set(DrainMode::Unwell);
-        let (this, drain, start) = (self.clone(), self.drains.get(), tokio::time::Instant::now());
+        self.intake.away.set(DrainMode::Unhealthy);
+        let (clients, drain_change, start) =
+            (self.clone(), self.drain_changes.get(), tokio::time::Instant::now());
         tokio::task::spawn_local(async move {
-            for after in [DRAIN_CLOSING, DRAIN_IDLE, DRAIN_ALL] {
+            for after in [DRAIN_CLOSING_AFTER, DRAIN_IDLE_AFTER, DRAIN_ALL_AFTER] {
                 tokio::time::sleep_until(start + after).await;
-                if this.drains.get() != drain {
+                if clients.drain_changes.get() != drain_change {
                     return;
                 }
                 match after {
-                    DRAIN_CLOSING => this.intake.away.set(DrainMode::Closing),
-                    DRAIN_IDLE => this.close_idle(),
-                    _ => this.dismiss_all(),
+                    DRAIN_CLOSING_AFTER => clients.intake.away.set(DrainMode::Closing),
+                    DRAIN_IDLE_AFTER => clients.close_idle(),
+                    _ => clients.request_close_all(),
                 }
             }
         });
     }
 
-    /// The process is about to end: closes what is idle, and lasts until whoever has begun a request has its answer. What is
-    /// written on a connection counts as handed in once its last byte is there, read or not. Requests that are not whole by
-    /// the end of `within` are refused; the connections are closed soon after that.
+    /// Shuts down before the process ends: closes idle connections and waits until each request that was
+    /// begun is answered. A request counts as handed in once its last byte is received by the kernel, read or
+    /// not. Requests that are incomplete after `within` are refused, and their connections are closed soon
+    /// after.
     pub async fn finish(&self, within: Duration) {
-        let all_go = Instant::now() + within;
+        let refuse_at = Instant::now() + within;
         loop {
-            if Instant::now() < all_go {
-                self.guests.borrow().values().for_each(|g| g.dismiss(CloseMode::WhenQuiet));
+            if Instant::now() < refuse_at {
+                self.connections
+                    .borrow()
+                    .values()
+                    .for_each(|connection| connection.request_close(CloseMode::WhenIdle));
             } else {
-                self.dismiss_all();
+                self.request_close_all();
             }
-            // One more turn of the event loop: what has come by now is seen, and what was dismissed has gone.
-            tokio::time::sleep(FINISH_LOOK).await;
-            if self.guests.borrow().is_empty() {
+            // One more iteration of the event loop: input received by now is read, and connections asked to
+            // close are closed.
+            tokio::time::sleep(FINISH_CHECK_INTERVAL).await;
+            if self.connections.borrow().is_empty() {
                 return;
             }
         }
     }
 
-    /// Each goes once no answer is due on it; a request that is not whole is refused.
-    fn dismiss_all(&self) {
-        self.guests.borrow().values().for_each(|g| g.dismiss(CloseMode::Now));
+    /// Closes each connection once no answer is pending on it; incomplete requests are refused.
+    fn request_close_all(&self) {
+        self.connections
+            .borrow()
+            .values()
+            .for_each(|connection| connection.request_close(CloseMode::RefuseIncomplete));
     }
 
-    fn come(&self, number: u64) -> Rc<ClientConnection> {
-        let connection = Rc::new(ClientConnection::new(number, self.crowded.clone()));
-        let mut guests = self.guests.borrow_mut();
-        guests.insert(number, connection.clone());
-        self.crowded.set(guests.len() > self.crowd);
+    /// Adds a connection.
+    fn register(&self, number: u64) -> Rc<ClientConnection> {
+        let connection = Rc::new(ClientConnection::new(number, self.above_keep_alive_limit.clone()));
+        let mut connections = self.connections.borrow_mut();
+        connections.insert(number, connection.clone());
+        self.above_keep_alive_limit.set(connections.len() > self.keep_alive_limit);
         connection
     }
 
-    fn go(&self, number: u64) {
-        let mut guests = self.guests.borrow_mut();
-        guests.remove(&number);
-        self.crowded.set(guests.len() > self.crowd);
+    /// Removes a connection.
+    fn unregister(&self, number: u64) {
+        let mut connections = self.connections.borrow_mut();
+        connections.remove(&number);
+        self.above_keep_alive_limit.set(connections.len() > self.keep_alive_limit);
     }
 
-    /// Closes what overstays. For good.
+    /// Closes connections that exceed a time limit. Never returns.
     pub async fn sweep(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(SWEEP).await;
+            tokio::time::sleep(SWEEP_INTERVAL).await;
             let now = Instant::now();
-            for connection in self.guests.borrow().values().filter(|g| g.overstays(now)) {
-                let told = connection.leaves() >= CloseMode::WhenQuiet;
-                let idle = connection.turn.get() == RequestPhase::Idle && !told;
-                connection.dismiss(if idle { CloseMode::WhenQuiet } else { CloseMode::TooSlow });
+            for connection in
+                self.connections.borrow().values().filter(|connection| connection.exceeds_time_limit(now))
+            {
+                let already_requested = connection.close_mode() >= CloseMode::WhenIdle;
+                let idle = connection.phase.get() == RequestPhase::Idle && !already_requested;
+                connection.request_close(if idle { CloseMode::WhenIdle } else { CloseMode::RequestTimeout });
             }
         }
     }
 
-    /// With all places taken one that is closed already goes at once, else the connection that has stood idle for longest,
-    /// else the one that takes longest over its request: a few that say nothing must not shut out all others.
-    fn make_room(&self) {
-        let guests = self.guests.borrow();
-        if let Some(closed) = guests.values().find(|g| g.lingers.get()) {
-            return closed.hurry.notify_one();
+    /// Frees a permit when none is left: that of a connection whose client's close is awaited, else of the
+    /// connection that has been idle for longest, else of the one whose request takes longest. A few silent
+    /// connections must not lock out all others.
+    fn free_permit(&self) {
+        let connections = self.connections.borrow();
+        if let Some(closed) = connections.values().find(|connection| connection.awaiting_client_close.get()) {
+            return closed.permit_needed.notify_one();
         }
-        let stays = |g: &&Rc<ClientConnection>| {
-            g.leaves() < CloseMode::WhenQuiet && g.turn.get() != RequestPhase::Answering
+        let candidate = |connection: &&Rc<ClientConnection>| {
+            connection.close_mode() < CloseMode::WhenIdle && connection.phase.get() != RequestPhase::Answering
         };
-        let longest = guests.values().filter(stays).min_by_key(|g| (!g.quiet(), g.since.get()));
-        longest
-            .into_iter()
-            .for_each(|g| g.dismiss(if g.quiet() { CloseMode::WhenQuiet } else { CloseMode::Now }));
+        let longest = connections
+            .values()
+            .filter(candidate)
+            .min_by_key(|connection| (!connection.is_idle(), connection.phase_since.get()));
+        longest.into_iter().for_each(|connection| {
+            connection.request_close(if connection.is_idle() {
+                CloseMode::WhenIdle
+            } else {
+                CloseMode::RefuseIncomplete
+            })
+        });
     }
 
-    /// Another process goes on: all connections go there, each once no answer is due on it. The listener is left to
-    /// it, too.
+    /// Starts the handover to another process: each connection is sent there once no answer is pending on it,
+    /// and the listener is no longer used here.
     pub fn pass(&self, to: UnboundedSender<HandedOverConnection>) {
-        self.pass.send_replace(Some(to));
+        self.handover_target.send_replace(Some(to));
     }
 
-    /// Connections that are here.
+    /// Returns the number of open connections.
     pub fn count(&self) -> usize {
-        self.guests.borrow().len()
+        self.connections.borrow().len()
     }
 
-    /// Accepts connections until they are passed on.
+    /// Accepts connections until they are handed over.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
-        let mut pass = self.pass.subscribe();
+        let mut handover_target = self.handover_target.subscribe();
         loop {
             let accepted = tokio::select! {
                 biased;
-                _ = pass.wait_for(Option::is_some) => return,
+                _ = handover_target.wait_for(Option::is_some) => return,
                 accepted = listener.accept() => accepted,
             };
             match accepted {
                 Ok((stream, _)) => self.admit(stream, Vec::new()).await,
                 Err(e) => {
                     eprintln!("mulleinslip: accept: {e}");
-                    self.make_room();
+                    self.free_permit();
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
             }
         }
     }
 
-    /// Goes on with a connection that an earlier process had.
+    /// Continues with a connection that an earlier process handed over.
     ///
     /// # Errors
-    /// What making it a connection of this process gives.
-    pub async fn take_over(self: &Rc<Self>, passed: HandedOverConnection) -> io::Result<()> {
-        passed.stream.set_nonblocking(true)?;
-        self.admit(TcpStream::from_std(passed.stream)?, passed.unread).await;
+    ///
+    /// Fails if the socket can't be registered with the event loop.
+    pub async fn take_over(self: &Rc<Self>, handed_over: HandedOverConnection) -> io::Result<()> {
+        handed_over.stream.set_nonblocking(true)?;
+        self.admit(TcpStream::from_std(handed_over.stream)?, handed_over.unread).await;
         Ok(())
     }
 
+    /// Serves a connection once a permit is free, or drops it if none becomes free in time.
     async fn admit(self: &Rc<Self>, stream: TcpStream, unread: Vec<u8>) {
-        if self.places.available_permits() == 0 {
-            self.make_room();
+        if self.permits.available_permits() == 0 {
+            self.free_permit();
         }
-        let place = tokio::time::timeout(PLACE, self.places.clone().acquire_owned()).await;
-        let Ok(Ok(place)) = place else { return };
-        let number = self.numbers.get();
-        self.numbers.set(number + 1);
-        let connection = self.come(number);
+        let permit = tokio::time::timeout(PERMIT_TIMEOUT, self.permits.clone().acquire_owned()).await;
+        let Ok(Ok(permit)) = permit else { return };
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
+        let connection = self.register(number);
         let clients = self.clone();
         tokio::task::spawn_local(async move {
             clients.serve_client(stream, unread, &connection).await;
-            connection.gone();
-            clients.go(number);
-            drop(place);
+            connection.on_closed();
+            clients.unregister(number);
+            drop(permit);
         });
     }
 
-    async fn serve_client(&self, io: TcpStream, unread: Vec<u8>, connection: &Rc<ClientConnection>) {
-        let _slower_without = io.set_nodelay(true);
-        let service = service_fn(|request| self.intake.request(request, connection));
+    /// Serves a connection until it is closed or handed over.
+    async fn serve_client(&self, stream: TcpStream, unread: Vec<u8>, connection: &Rc<ClientConnection>) {
+        let _only_slower_if_it_fails = stream.set_nodelay(true);
+        let service = service_fn(|request| self.intake.handle(request, connection));
         let mut server = http1::Builder::new();
-        server.max_buf_size(MOST_HEAD);
-        let io: Socket = Rc::new(RefCell::new(io));
-        let watched = Watched { io: io.clone(), before: (unread, 0), connection: connection.clone() };
-        let mut conn = server.serve_connection(watched, service);
-        let (mut close, mut pass) = (self.close.subscribe(), self.pass.subscribe());
-        // What comes after idle connections were closed may be a request that crossed the close, sent once
-        // more: it is answered, not closed on.
-        let late = *close.borrow();
-        let mut give_up_at = None;
-        let passed = loop {
-            let passing = pass.borrow().is_some();
-            // hyper first: what has come is read before it is judged whether anything has.
-            let over = poll_fn(|cx| {
+        server.max_buf_size(MAX_HEAD_BYTES);
+        let socket: Socket = Rc::new(RefCell::new(stream));
+        let observed_socket =
+            ObservedSocket { socket: socket.clone(), replay: (unread, 0), connection: connection.clone() };
+        let mut conn = server.serve_connection(observed_socket, service);
+        let (mut idle_close, mut handover_target) =
+            (self.idle_close.subscribe(), self.handover_target.subscribe());
+        // A request received after idle connections were closed may be a repeat of one that crossed the
+        // close, so it is answered rather than closed on.
+        let after_idle_close = *idle_close.borrow();
+        let mut close_at = None;
+        let unread_to_hand_over = loop {
+            let handing_over = handover_target.borrow().is_some();
+            // hyper is polled first, so that received input is read before the connection is considered idle.
+            let finished = poll_fn(|cx| {
                 if Pin::new(&mut conn).poll(cx).is_ready() {
                     return Poll::Ready(None);
                 }
-                if passing {
-                    // Once nothing is due on it, it goes to the other process as it stands.
-                    if let Some(unread) = connection.hand_over() {
+                if handing_over {
+                    // Once no answer is pending, the connection is handed over as it is.
+                    if let Some(unread) = connection.input_to_hand_over() {
                         return Poll::Ready(Some(unread));
                     }
                 }
-                match connection.may_go() && !close::unread(&io) {
+                match connection.may_close() && !close::has_unread_input(&socket) {
                     true => Poll::Ready(None),
                     false => Poll::Pending,
                 }
             });
             tokio::select! {
                 biased;
-                over = over => break over,
-                () = connection.told.notified() => {
-                    // It goes at the next look, or an answer is due on it, which comes soon or never.
-                    let now = (connection.leaves() >= CloseMode::TooSlow).then(Instant::now);
-                    give_up_at = give_up_at.or(now.map(|now| now + close::LAST_ANSWER));
+                unread = finished => break unread,
+                () = connection.close_requested.notified() => {
+                    // The connection closes at the next poll, or an answer is pending, which comes soon or
+                    // never.
+                    let requested_at =
+                        (connection.close_mode() >= CloseMode::RequestTimeout).then(Instant::now);
+                    close_at = close_at.or(requested_at.map(|now| now + close::PENDING_ANSWER_TIMEOUT));
                 }
-                () = until(give_up_at) => break None,
-                Ok(_) = pass.wait_for(Option::is_some), if !passing => {}
-                Ok(_) = close.wait_for(|close| *close), if !late && connection.leaves() == CloseMode::No => {
-                    connection.dismiss(CloseMode::AfterAnswer);
+                () = until(close_at) => break None,
+                Ok(_) = handover_target.wait_for(Option::is_some), if !handing_over => {}
+                Ok(_) = idle_close.wait_for(|requested| *requested),
+                    if !after_idle_close && connection.close_mode() == CloseMode::KeepOpen =>
+                {
+                    connection.request_close(CloseMode::AfterAnswer);
                 }
             }
         };
-        if let Some(unread) = passed {
-            drop(io);
-            let Watched { io, before: (earlier, at), .. } = conn.into_parts().io;
-            let unread = [&unread[..], earlier.get(at..).unwrap_or_default()].concat();
-            let stream = Rc::into_inner(io).map(|io| io.into_inner().into_std());
-            if let (Some(Ok(stream)), Some(to)) = (stream, &*self.pass.borrow()) {
-                let _process_ends = to.send(HandedOverConnection { stream, unread });
+        if let Some(unread) = unread_to_hand_over {
+            drop(socket);
+            let ObservedSocket { socket, replay: (earlier, read_again), .. } = conn.into_parts().io;
+            let unread = [&unread[..], earlier.get(read_again..).unwrap_or_default()].concat();
+            let stream = Rc::into_inner(socket).map(|socket| socket.into_inner().into_std());
+            if let (Some(Ok(stream)), Some(to)) = (stream, &*self.handover_target.borrow()) {
+                let _process_ended = to.send(HandedOverConnection { stream, unread });
             }
             return;
         }
-        // hyper answers for itself what it can make nothing of.
-        let answer = match connection.leaves() {
-            CloseMode::TooSlow if connection.half_read() => Some(close::TOO_SLOW),
-            CloseMode::Now if connection.half_read() => Some(close::REFUSAL),
+        // hyper itself answers requests that it can't parse.
+        let answer = match connection.close_mode() {
+            CloseMode::RequestTimeout if connection.has_incomplete_request() => {
+                Some(close::REQUEST_TIMEOUT_RESPONSE)
+            }
+            CloseMode::RefuseIncomplete if connection.has_incomplete_request() => {
+                Some(close::REFUSED_RESPONSE)
+            }
             _ => None,
         };
         drop(conn);
         if let Some(answer) = answer {
-            // With nothing else on its way out, this is written at once or never.
-            let _client_gone = io.borrow().try_write(answer);
+            // As nothing else is being written, this succeeds at once or not at all.
+            let _client_gone = socket.borrow().try_write(answer);
         }
-        let Some(io) = Rc::into_inner(io) else { return };
-        let crowded = self.places.available_permits() == 0;
-        let within = if crowded { close::LINGER_CROWDED } else { close::LINGER };
-        close::close(io.into_inner(), connection, within).await;
+        let Some(socket) = Rc::into_inner(socket) else { return };
+        let full = self.permits.available_permits() == 0;
+        let linger_timeout = if full { close::LINGER_TIMEOUT_WHEN_FULL } else { close::LINGER_TIMEOUT };
+        close::close_gracefully(socket.into_inner(), connection, linger_timeout).await;
     }
 }
 
-/// For good, if there is no such time.
+/// Waits until `at`, or forever if there is no such time.
 async fn until(at: Option<Instant>) {
     match at {
         Some(at) => tokio::time::sleep_until(at.into()).await,
--- a/crates/http/src/intake.rs
+++ b/crates/http/src/intake.rs
@@ -1,4 +1,4 @@
-//! What clients hand in: reads and checks it, and answers at once. Nothing here trusts what it reads.
+//! Reads and checks the requests of clients and answers them. All input is untrusted.
 
 use crate::answer::Answer;
 use crate::audit::{self, Step};
@@ -17,104 +17,116 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{oneshot, watch};
 
-const MOST_BODY: usize = 64 * 1024;
-/// The longest id or key; those in use have 32 characters.
-const MOST_ID: usize = 256;
-/// A body that is late is answered so long before its connection would be closed.
+/// Maximum size of a message's body.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Maximum length of an id or key; those in use have 32 characters.
+const MAX_ID_BYTES: usize = 256;
+/// A body that does not arrive is answered this long before its connection would be closed.
 const BODY_MARGIN: Duration = Duration::from_millis(200);
 
-/// What all client connections share.
+/// State shared by all client connections.
 pub struct Intake {
+    /// Names of the classes and tenants, by index.
     pub names: Names,
+    /// The classes, by index.
     pub classes: Vec<Class>,
+    /// Where messages are submitted.
     pub engine: Handle,
+    /// The clock of deadlines.
     pub clock: Clock,
-    /// After SIGTERM nothing new is taken on, and connections are not kept.
+    /// After SIGTERM no new messages are accepted, and connections are not kept open.
     pub stopping: Cell<bool>,
-    /// Whether clients are sent elsewhere, see [`crate::Clients::drain`].
+    /// How far clients are being drained, see [`crate::Clients::drain`].
     pub away: Cell<DrainMode>,
-    /// What is handed in waits as long as this says so: another process may be about to go on.
+    /// While true, submissions wait, as another process may be about to take over.
     pub paused: watch::Sender<bool>,
 }
 
-/// How far clients are sent elsewhere. What they hand in meanwhile is taken on as ever.
+/// How far clients are being drained. Messages handed in meanwhile are still accepted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DrainMode {
-    /// They are welcome.
+    /// Clients are not being drained.
     #[default]
     No,
-    /// Health says no, so that no new ones come.
-    Unwell,
-    /// And each answer closes its connection.
+    /// The health check fails, so that no new clients are sent here.
+    Unhealthy,
+    /// The health check fails, and each answer closes its connection.
     Closing,
 }
 
 type Reply = Response<Body>;
-/// Why a request can't be taken: the status and a plain line.
-type Bad = (StatusCode, &'static str);
+/// Why a request is rejected: the status and a line of plain text.
+type RequestError = (StatusCode, &'static str);
 
 impl Intake {
-    pub async fn request(
+    /// Answers one request of a client.
+    pub async fn handle(
         &self, request: Request<Incoming>, connection: &ClientConnection,
     ) -> Result<Reply, Infallible> {
-        connection.reading();
-        let health = request.uri().path() == "/_health";
-        let mut reply = if health {
+        connection.set_reading();
+        let is_health_check = request.uri().path() == "/_health";
+        let mut reply = if is_health_check {
             match *request.method() {
-                // Nobody new should come here any more.
-                _ if self.stopping.get() => plain(StatusCode::SERVICE_UNAVAILABLE, "stopping\n"),
-                _ if self.away.get() > DrainMode::No => plain(StatusCode::SERVICE_UNAVAILABLE, "drained\n"),
-                Method::GET | Method::HEAD => plain(StatusCode::OK, ""),
-                _ => plain(StatusCode::METHOD_NOT_ALLOWED, "GET only\n"),
+                // The health check fails so that no new clients are sent here.
+                _ if self.stopping.get() => plain_response(StatusCode::SERVICE_UNAVAILABLE, "stopping\n"),
+                _ if self.away.get() > DrainMode::No => {
+                    plain_response(StatusCode::SERVICE_UNAVAILABLE, "drained\n")
+                }
+                Method::GET | Method::HEAD => plain_response(StatusCode::OK, ""),
+                _ => plain_response(StatusCode::METHOD_NOT_ALLOWED, "GET only\n"),
             }
         } else {
-            match self.read(request, connection).await {
+            match self.read_message(request, connection).await {
                 Ok(message) => {
-                    // Not answering yet: until it is handed in, the connection may go to the other process.
+                    // Not set to answering yet: until the message is submitted, the connection may be handed
+                    // over.
                     if *self.paused.borrow() {
-                        let _never_gone = self.paused.subscribe().wait_for(|paused| !paused).await.is_ok();
+                        let _sender_lives = self.paused.subscribe().wait_for(|paused| !paused).await.is_ok();
                     }
-                    connection.answering();
+                    connection.set_answering();
                     self.submit(message, connection).await
                 }
-                Err((status, why)) => plain(status, why),
+                Err((status, why)) => plain_response(status, why),
             }
         };
-        connection.idle();
-        // Whoever sends what can't be taken has to connect again to send more.
-        let away = self.stopping.get() || self.away.get() == DrainMode::Closing;
-        if away || connection.ends() || reply.status().is_client_error() {
+        connection.request_answered();
+        // A client whose request was rejected must reconnect to send more.
+        let closing = self.stopping.get() || self.away.get() == DrainMode::Closing;
+        if closing || connection.closes_after_request() || reply.status().is_client_error() {
             reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         Ok(reply)
     }
 
+    /// Submits a message to the engine and waits for the answer.
     async fn submit(&self, message: Message, connection: &ClientConnection) -> Reply {
-        let (answer, answered) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         let (call_id, client) = (message.call_id.clone(), connection.number);
-        connection.audit(&call_id);
+        connection.audit_call(&call_id);
         audit::note(&call_id, || Step::Handed {
             client,
             due: message.due,
             class: message.class,
             destination: message.destination,
         });
-        // If this request's connection ends first, `answered` is dropped, and the message is left.
-        let _or_stopped = self.engine.submit(Box::new(message), answer);
-        let reply = match answered.await {
-            Ok(Answer::Accepted) => plain(StatusCode::ACCEPTED, ""),
-            Ok(Answer::Failed) => plain(StatusCode::INTERNAL_SERVER_ERROR, "not delivered\n"),
-            Ok(Answer::Refused { retry_after_ms }) => refused(retry_after_ms),
-            Err(_) => refused(None),
+        // If this request's connection closes first, `receiver` is dropped, and the message is withdrawn.
+        let _engine_stopped = self.engine.submit(Box::new(message), sender);
+        let reply = match receiver.await {
+            Ok(Answer::Accepted) => plain_response(StatusCode::ACCEPTED, ""),
+            Ok(Answer::Failed) => plain_response(StatusCode::INTERNAL_SERVER_ERROR, "not delivered\n"),
+            Ok(Answer::Refused { retry_after_ms }) => refused_response(retry_after_ms),
+            Err(_) => refused_response(None),
         };
         audit::note(&call_id, || Step::Answered { client, status: reply.status().as_u16() });
         reply
     }
 
-    /// Reads a request whole and checks it.
-    async fn read(&self, request: Request<Incoming>, connection: &ClientConnection) -> Result<Message, Bad> {
+    /// Reads a request in full and checks it.
+    async fn read_message(
+        &self, request: Request<Incoming>, connection: &ClientConnection,
+    ) -> Result<Message, RequestError> {
         const BAD: StatusCode = StatusCode::BAD_REQUEST;
-        if connection.ambiguous() {
+        if connection.is_ambiguous() {
             return Err((BAD, "the length can be read in two ways\n"));
         }
         let (head, body) = request.into_parts();
@@ -124,35 +136,36 @@
         let class = head.uri.path().split('/').nth(1).unwrap_or("");
         let class = self.names.classes.iter().position(|c| c == class);
         let class = class.ok_or((StatusCode::NOT_FOUND, "no such class\n"))?;
-        let kind = &self.classes[class];
-        let call_id = text(&head.headers, "X-Call-Id").filter(|id| is_id(id));
+        let class_settings = &self.classes[class];
+        let call_id = single_header(&head.headers, "X-Call-Id").filter(|id| is_valid_id(id));
         let call_id = call_id.ok_or((BAD, "X-Call-Id is missing or can't be read\n"))?.to_string();
-        let tenant = match text(&head.headers, "X-Caller") {
+        let tenant = match single_header(&head.headers, "X-Caller") {
             _ if self.names.tenants.is_empty() => Some(0),
             Some(caller) => self.names.tenants.iter().position(|t| t == caller),
             None => None,
         };
         let tenant = tenant.ok_or((BAD, "X-Caller is missing or unknown\n"))?;
-        let budget_ms = text(&head.headers, "X-Budget").and_then(budget);
-        // No message is of use for longer than its class says.
+        let budget_ms = single_header(&head.headers, "X-Budget").and_then(parse_budget_ms);
+        // A message has no value after its class's deadline.
         let budget_ms =
-            budget_ms.ok_or((BAD, "X-Budget is missing or can't be read\n"))?.min(kind.deadline_ms);
-        let destination = text(&head.headers, "X-Envelope").and_then(dest);
+            budget_ms.ok_or((BAD, "X-Budget is missing or can't be read\n"))?.min(class_settings.deadline_ms);
+        let destination = single_header(&head.headers, "X-Envelope").and_then(parse_destination);
         let destination = destination.ok_or((BAD, "X-Envelope is missing or has no dest\n"))?;
-        let key = text(&head.headers, "Idempotency-Key").filter(|key| is_id(key));
-        if kind.effect == Effect::Keyed && key.is_none() {
+        let key = single_header(&head.headers, "Idempotency-Key").filter(|key| is_valid_id(key));
+        if class_settings.effect == Effect::Keyed && key.is_none() {
             return Err((BAD, "Idempotency-Key is missing or can't be read\n"));
         }
         let idempotency_key = key.map(|key| Bytes::copy_from_slice(key.as_bytes()));
-        let order_key = order_key(head.uri.path(), head.uri.query().unwrap_or("")).filter(|_| kind.in_order);
-        if order_key.as_ref().is_some_and(|key| key.len() > MOST_ID) {
+        let order_key =
+            order_key(head.uri.path(), head.uri.query().unwrap_or("")).filter(|_| class_settings.in_order);
+        if order_key.as_ref().is_some_and(|key| key.len() > MAX_ID_BYTES) {
             return Err((BAD, "the key is too long\n"));
         }
-        if body.size_hint().lower() > MOST_BODY as u64 {
+        if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "64 KiB at most\n"));
         }
-        let within = connection.deadline() - BODY_MARGIN;
-        let body = tokio::time::timeout_at(within.into(), collect(body, MOST_BODY)).await;
+        let body_deadline = connection.request_deadline() - BODY_MARGIN;
+        let body = tokio::time::timeout_at(body_deadline.into(), collect(body, MAX_BODY_BYTES)).await;
         let body = body.map_err(|_| (StatusCode::REQUEST_TIMEOUT, "the body did not come\n"))?;
         let body = body.map_err(|too_long| match too_long {
             true => (StatusCode::PAYLOAD_TOO_LARGE, "64 KiB at most\n"),
@@ -163,14 +176,14 @@
     }
 }
 
-fn plain(status: StatusCode, why: &'static str) -> Reply {
+fn plain_response(status: StatusCode, why: &'static str) -> Reply {
     let mut reply = Response::new(bytes(why));
     *reply.status_mut() = status;
     reply
 }
 
-fn refused(retry_after_ms: Option<f64>) -> Reply {
-    let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, "");
+fn refused_response(retry_after_ms: Option<f64>) -> Reply {
+    let mut reply = plain_response(StatusCode::SERVICE_UNAVAILABLE, "");
     let seconds = retry_after_ms.map(|ms| format!("{:.3}", ms.max(0.0) / 1000.0));
     if let Some(value) = seconds.and_then(|s| HeaderValue::from_str(&s).ok()) {
         reply.headers_mut().insert(RETRY_AFTER, value);
@@ -178,38 +191,38 @@
     reply
 }
 
-/// A header that is there once and is plain text.
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+/// Returns the value of a header that occurs exactly once and is plain text.
+fn single_header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut all = headers.get_all(name).iter();
     let value = all.next()?;
     all.next().is_none().then(|| value.to_str().ok().map(str::trim))?
 }
 
-/// `480m` or `480000u`, in milliseconds.
-fn budget(text: &str) -> Option<f64> {
+/// Parses a budget such as `480m` (milliseconds) or `480000u` (microseconds) into milliseconds.
+fn parse_budget_ms(text: &str) -> Option<f64> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
-    let per_ms = match unit {
+    let units_per_ms = match unit {
         "m" => 1.0,
         "u" => 1000.0,
         _ => return None,
     };
     let digits = number.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    let number = number.parse::<f64>().ok().filter(|_| digits)? / per_ms;
+    let number = number.parse::<f64>().ok().filter(|_| digits)? / units_per_ms;
     number.is_finite().then_some(number)
 }
 
-/// What may stand as an id in a header that is passed on, in the journal and in a notice.
-fn is_id(text: &str) -> bool {
-    !text.is_empty() && text.len() <= MOST_ID && text.bytes().all(|b| b.is_ascii_graphic())
+/// Returns whether an id is safe to use in forwarded headers, the journal and notices.
+fn is_valid_id(text: &str) -> bool {
+    !text.is_empty() && text.len() <= MAX_ID_BYTES && text.bytes().all(|b| b.is_ascii_graphic())
 }
 
-/// The number after `dest=`.
-fn dest(envelope: &str) -> Option<u64> {
+/// Returns the number after `dest=`.
+fn parse_destination(envelope: &str) -> Option<u64> {
     let mut parts = envelope.split([';', ',', ' ']).map(str::trim);
     parts.find_map(|p| p.strip_prefix("dest="))?.parse().ok()
 }
 
-/// The key of a class in order: what follows the class in the path, else `about` in the query.
+/// Returns the order key: the rest of the path after the class, else `about` in the query.
 fn order_key(path: &str, query: &str) -> Option<String> {
     let in_path = path.trim_start_matches('/').split_once('/').map(|(_class, key)| key);
     let in_query = || query.split('&').find_map(|p| p.strip_prefix("about="));
--- a/crates/http/src/intake/tests.rs
+++ b/crates/http/src/intake/tests.rs
@@ -1,7 +1,9 @@
 use super::order_key;
 
+/// Guards against messages that are delivered out of order because their order key is read from the wrong
+/// place: the path comes before the query, and an empty key is none.
 #[test]
-fn the_key_of_an_ordered_message_is_read_from_the_path_or_else_from_the_query() {
+fn order_key_is_read_from_the_path_or_else_from_the_query() {
     let rows: &[(&str, &str, Option<&str>)] = &[
         ("/orders/00081cea", "", Some("00081cea")),
         ("/orders/a/b", "", Some("a/b")),
@@ -13,7 +15,7 @@
         ("/", "", None),
         ("", "", None),
     ];
-    for (path, query, key) in rows {
-        assert_eq!(order_key(path, query).as_deref(), *key, "{path}?{query}");
+    for (path, query, expected) in rows {
+        assert_eq!(order_key(path, query).as_deref(), *expected, "{path}?{query}");
     }
 }
