--- a/crates/http/src/conn.rs
+++ b/crates/http/src/conn.rs
@@ -1,6 +1,6 @@
-//! One HTTP/1.1 connection to a host or to discovery, driven by whoever has a request on it. It carries one
-//! exchange at a time, sends nothing again, and knows how much of a request has gone out and what came back,
-//! also of an answer that hyper can make nothing of.
+//! An HTTP/1.1 connection to a host or to the discovery agent, driven by the task that has a request on it.
+//! It carries one exchange at a time, never retries, and tracks how much of a request was written and what
+//! came back, even if hyper rejects the response.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -22,387 +22,407 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// How far the body of an answer is read that means nothing; what is longer ends the connection.
-pub const SMALL: usize = 16 * 1024;
-/// The longest head of an answer, and all that may come ahead of it: hyper takes no longer one either.
-const MOST_HEAD: usize = 16 * 1024;
-/// From an answer's first byte to the end of its head. Heads come in one piece.
-const HEAD: Duration = Duration::from_millis(250);
-/// What is read at once.
-const READ: usize = 4096;
-
-/// How far a request has gone out. A host begins a call when its last byte has come, so a break before that
-/// proves that it never ran.
+/// Maximum size of a response body where a small one is expected; after a longer one the connection is
+/// closed.
+pub const MAX_SMALL_BODY_BYTES: usize = 16 * 1024;
+/// Maximum size of a response head, with any interim responses before it; hyper has the same limit.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Time limit from a response's first byte to the end of its head, which normally arrives in one piece.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(250);
+/// Maximum number of bytes per read.
+const READ_BUFFER_BYTES: usize = 4096;
+
+/// How much of a request was written. A host begins a call when it has the last byte, so a connection that
+/// breaks before that proves that the call never ran.
 #[derive(Default)]
 pub struct Progress {
-    any: Cell<bool>,
-    head_end: Cell<usize>,
-    body_left: Cell<usize>,
-    answer: RefCell<Heard>,
-    /// Counts requests that were written whole.
-    whole: RefCell<Option<Rc<Cell<u64>>>>,
+    /// Whether any byte was written.
+    any_written: Cell<bool>,
+    /// Number of bytes of the head's end that the last written bytes match; 4 once the head is written.
+    head_end_matched: Cell<usize>,
+    /// Number of bytes of the body that are not written yet.
+    body_left_bytes: Cell<usize>,
+    /// What was received of the response.
+    response: RefCell<ResponseScanner>,
+    /// Counter of requests that were written in full.
+    complete_counter: RefCell<Option<Rc<Cell<u64>>>>,
 }
 
 impl Progress {
+    /// Starts over for a request with a body of this length.
     fn begin(&self, body: usize) {
-        self.any.set(false);
-        self.head_end.set(0);
-        self.body_left.set(body);
-        *self.answer.borrow_mut() = Heard::default();
+        self.any_written.set(false);
+        self.head_end_matched.set(0);
+        self.body_left_bytes.set(body);
+        *self.response.borrow_mut() = ResponseScanner::default();
     }
 
-    /// The next request counts here once it is written whole.
-    pub fn count_in(&self, whole: Rc<Cell<u64>>) {
-        *self.whole.borrow_mut() = Some(whole);
+    /// Adds one to `counter` once the next request is written in full.
+    pub fn count_when_complete(&self, counter: Rc<Cell<u64>>) {
+        *self.complete_counter.borrow_mut() = Some(counter);
     }
 
-    fn wrote(&self, bytes: &[u8]) {
-        self.written(bytes);
+    fn on_written(&self, bytes: &[u8]) {
+        self.advance(bytes);
         if self.complete() {
-            if let Some(whole) = self.whole.take() {
-                whole.set(whole.get() + 1);
+            if let Some(counter) = self.complete_counter.take() {
+                counter.set(counter.get() + 1);
             }
         }
     }
 
-    fn written(&self, bytes: &[u8]) {
-        self.any.set(self.any.get() || !bytes.is_empty());
+    fn advance(&self, bytes: &[u8]) {
+        self.any_written.set(self.any_written.get() || !bytes.is_empty());
         let mut rest = bytes;
-        while self.head_end.get() < 4 {
+        while self.head_end_matched.get() < 4 {
             let Some((byte, after)) = rest.split_first() else { return };
             rest = after;
-            self.head_end.set(ended(self.head_end.get(), *byte));
+            self.head_end_matched.set(match_head_end(self.head_end_matched.get(), *byte));
         }
-        self.body_left.set(self.body_left.get().saturating_sub(rest.len()));
+        self.body_left_bytes.set(self.body_left_bytes.get().saturating_sub(rest.len()));
     }
 
-    /// Some of it was written.
-    pub fn begun(&self) -> bool {
-        self.any.get()
+    /// Returns whether any of the request was written.
+    pub fn started(&self) -> bool {
+        self.any_written.get()
     }
 
-    /// All of it was written: from here on the call may have run.
+    /// Returns whether all of the request was written, after which the call may have run.
     pub fn complete(&self) -> bool {
-        self.head_end.get() == 4 && self.body_left.get() == 0
+        self.head_end_matched.get() == 4 && self.body_left_bytes.get() == 0
     }
 
-    /// The status in the first line of the answer, if one came that can be read.
+    /// Returns the status in the response's status line, if a valid one was received.
     pub fn status(&self) -> Option<u16> {
-        match self.answer.borrow().part {
-            Part::Head { status, .. } | Part::Rest { status, .. } => Some(status),
+        match self.response.borrow().state {
+            ScanState::Head { status, .. } | ScanState::AfterHead { status, .. } => Some(status),
             _ => None,
         }
     }
 }
 
+/// The part of a response that the next byte belongs to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Part {
-    /// In the first line, of an answer or of what is told ahead of it.
-    Line,
-    /// In the head of a 1xx, with so much of its end.
+enum ScanState {
+    /// In the status line of a response or an interim response.
+    StatusLine,
+    /// In the head of an interim (1xx) response, with this many bytes of the head's end matched.
     Interim(usize),
-    /// In the head, with so much of its end.
+    /// In the head of the response, with this many bytes of the head's end matched.
     Head { status: u16, end: usize },
-    /// Behind the head by so many bytes.
-    Rest { status: u16, bytes: u64 },
-    /// No first line of an answer.
-    Noise,
+    /// After the head, by this many bytes.
+    AfterHead { status: u16, bytes: u64 },
+    /// The input does not begin with a valid status line.
+    Invalid,
 }
 
-/// An answer as its bytes show it, ahead of hyper, which tells nothing of a head that it rejects.
-struct Heard {
-    part: Part,
+/// Scans the bytes of a response before hyper gets them, as hyper reports nothing about a head that it
+/// rejects.
+struct ResponseScanner {
+    state: ScanState,
     line: Vec<u8>,
-    /// Bytes up to the end of the head.
-    ahead: usize,
+    /// Number of bytes up to the end of the head.
+    head_bytes: usize,
 }
 
-impl Default for Heard {
-    fn default() -> Heard {
-        Heard { part: Part::Line, line: Vec::new(), ahead: 0 }
+impl Default for ResponseScanner {
+    fn default() -> ResponseScanner {
+        ResponseScanner { state: ScanState::StatusLine, line: Vec::new(), head_bytes: 0 }
     }
 }
 
-impl Heard {
-    /// Something of an answer has come, and its head is not over.
-    fn amid_head(&self) -> bool {
-        match self.part {
-            Part::Line => !self.line.is_empty(),
-            Part::Rest { .. } => false,
-            Part::Interim(_) | Part::Head { .. } | Part::Noise => true,
+impl ResponseScanner {
+    /// Returns whether a response has begun and its head is not complete.
+    fn in_head(&self) -> bool {
+        match self.state {
+            ScanState::StatusLine => !self.line.is_empty(),
+            ScanState::AfterHead { .. } => false,
+            ScanState::Interim(_) | ScanState::Head { .. } | ScanState::Invalid => true,
         }
     }
 
-    /// Looks at what was read. A 101 that nobody asked for says no more than any other 1xx, but hyper would stop
-    /// there, so it is handed on as a 100.
+    /// Scans received bytes. An unrequested 101 means no more than any other interim response, but hyper
+    /// would stop there, so it is changed into a 100.
     fn read(&mut self, bytes: &mut [u8]) {
         for at in 0..bytes.len() {
-            if let Part::Rest { bytes: behind, .. } = &mut self.part {
-                *behind += (bytes.len() - at) as u64;
+            if let ScanState::AfterHead { bytes: after_head, .. } = &mut self.state {
+                *after_head += (bytes.len() - at) as u64;
                 return;
             }
-            self.ahead += 1;
-            if self.ahead > MOST_HEAD && !matches!(self.part, Part::Head { .. }) {
-                self.part = Part::Noise;
+            self.head_bytes += 1;
+            if self.head_bytes > MAX_HEAD_BYTES && !matches!(self.state, ScanState::Head { .. }) {
+                self.state = ScanState::Invalid;
             }
             let byte = &mut bytes[at];
-            self.part = match self.part {
-                Part::Noise => return,
-                Part::Line if self.line.is_empty() && matches!(byte, b'\r' | b'\n') => Part::Line,
-                Part::Line => {
+            self.state = match self.state {
+                ScanState::Invalid => return,
+                ScanState::StatusLine if self.line.is_empty() && matches!(byte, b'\r' | b'\n') => {
+                    ScanState::StatusLine
+                }
+                ScanState::StatusLine => {
                     if *byte == b'1' && self.line.starts_with(b"HTTP/1.") && self.line.ends_with(b" 10") {
                         *byte = b'0';
                     }
                     self.line.push(*byte);
-                    self.first_line()
+                    self.check_status_line()
                 }
-                Part::Interim(end) => match ended(end, *byte) {
-                    4 => Part::Line,
-                    end => Part::Interim(end),
+                ScanState::Interim(end) => match match_head_end(end, *byte) {
+                    4 => ScanState::StatusLine,
+                    end => ScanState::Interim(end),
                 },
-                Part::Head { status, end } => match ended(end, *byte) {
-                    4 => Part::Rest { status, bytes: 0 },
-                    end => Part::Head { status, end },
+                ScanState::Head { status, end } => match match_head_end(end, *byte) {
+                    4 => ScanState::AfterHead { status, bytes: 0 },
+                    end => ScanState::Head { status, end },
                 },
                 rest => rest,
             };
         }
     }
 
-    /// What the first line shows so far: `HTTP/1.1 200` and then a space or the end of the line.
-    fn first_line(&mut self) -> Part {
+    /// Checks the status line so far, which is `HTTP/1.1 200` and then a space or the end of the line.
+    fn check_status_line(&mut self) -> ScanState {
         const FORM: &[u8; 13] = b"HTTP/1.d ddd ";
         let fits = |(byte, form): (&u8, &u8)| match form {
             b'd' => byte.is_ascii_digit(),
             _ => byte == form,
         };
-        let over = self.line.len() == FORM.len();
-        let last = self.line.last().is_some_and(|b| matches!(b, b'\r' | b'\n'));
-        let form = &FORM[..FORM.len() - usize::from(over && last)];
+        let full_length = self.line.len() == FORM.len();
+        let line_ended = self.line.last().is_some_and(|b| matches!(b, b'\r' | b'\n'));
+        let form = &FORM[..FORM.len() - usize::from(full_length && line_ended)];
         if !self.line.iter().zip(form).all(fits) {
-            return Part::Noise;
+            return ScanState::Invalid;
         }
-        if !over {
-            return Part::Line;
+        if !full_length {
+            return ScanState::StatusLine;
         }
         let status = self.line[9..12].iter().fold(0, |n, digit| n * 10 + u16::from(digit - b'0'));
-        let end = ended(0, self.line[12]);
+        let end = match_head_end(0, self.line[12]);
         self.line.clear();
         match status {
-            100..200 => Part::Interim(end),
-            _ => Part::Head { status, end },
+            100..200 => ScanState::Interim(end),
+            _ => ScanState::Head { status, end },
         }
     }
 }
 
-/// How much of the end of a head has come with one more byte.
-fn ended(matched: usize, byte: u8) -> usize {
+/// Returns how many bytes of the end of a head are matched after one more byte.
+fn match_head_end(matched: usize, byte: u8) -> usize {
     const END: &[u8; 4] = b"\r\n\r\n";
     match byte {
         b if END.get(matched) == Some(&b) => matched + 1,
-        // A CR that breaks off a match may begin the next one.
+        // A CR that breaks a match may begin the next one.
         b'\r' => 1,
         _ => 0,
     }
 }
 
-/// The socket, shared by hyper, which reads and writes it, and by [`Conn::usable`], which looks at it.
+/// The socket, shared by hyper, which reads and writes it, and by [`Conn::usable`], which peeks at it.
 type Socket = Rc<RefCell<TcpStream>>;
 
-struct Stream {
-    io: Socket,
+/// The socket as hyper reads and writes it, with `progress` updated.
+struct ObservedStream {
+    socket: Socket,
     progress: Rc<Progress>,
 }
 
-impl Read for Stream {
+impl Read for ObservedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, mut buf: ReadBufCursor) -> Poll<io::Result<()>> {
-        let mut bytes = [MaybeUninit::uninit(); READ];
-        let most = buf.remaining().min(READ);
-        let mut read = ReadBuf::uninit(&mut bytes[..most]);
-        std::task::ready!(Pin::new(&mut *self.io.borrow_mut()).poll_read(cx, &mut read))?;
-        self.progress.answer.borrow_mut().read(read.filled_mut());
+        let mut bytes = [MaybeUninit::uninit(); READ_BUFFER_BYTES];
+        let max_bytes = buf.remaining().min(READ_BUFFER_BYTES);
+        let mut read = ReadBuf::uninit(&mut bytes[..max_bytes]);
+        std::task::ready!(Pin::new(&mut *self.socket.borrow_mut()).poll_read(cx, &mut read))?;
+        self.progress.response.borrow_mut().read(read.filled_mut());
         buf.put_slice(read.filled());
         Poll::Ready(Ok(()))
     }
 }
 
-impl Write for Stream {
+impl Write for ObservedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let wrote = Pin::new(&mut *self.io.borrow_mut()).poll_write(cx, buf);
-        if let Poll::Ready(Ok(n)) = &wrote {
-            self.progress.wrote(&buf[..*n]);
+        let written = Pin::new(&mut *self.socket.borrow_mut()).poll_write(cx, buf);
+        if let Poll::Ready(Ok(count)) = &written {
+            self.progress.on_written(&buf[..*count]);
         }
-        wrote
+        written
     }
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        Pin::new(&mut *self.io.borrow_mut()).poll_flush(cx)
+        Pin::new(&mut *self.socket.borrow_mut()).poll_flush(cx)
     }
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        Pin::new(&mut *self.io.borrow_mut()).poll_shutdown(cx)
+        Pin::new(&mut *self.socket.borrow_mut()).poll_shutdown(cx)
     }
 }
 
-/// An exchange that is under way. Given up, its connection is reset and not closed: a kernel that closes goes on sending
-/// what the other side has not got yet, and a host that was cut off would begin the call when it is back, long after it
-/// was given up and perhaps after its repeat.
-struct UnderWay {
+/// Resets the connection if its exchange is dropped before it is finished. After a normal close the kernel
+/// would go on sending what the other side has not received yet, and a host that was unreachable for a while
+/// would run the call later, perhaps after its retry.
+struct ResetOnDrop {
     socket: Socket,
-    over: bool,
+    finished: bool,
 }
 
-impl Drop for UnderWay {
+impl Drop for ResetOnDrop {
     fn drop(&mut self) {
-        if !self.over {
+        if !self.finished {
             let socket = self.socket.borrow();
-            let _closed_already = socket2::SockRef::from(&*socket).set_linger(Some(Duration::ZERO));
+            let _already_closed = socket2::SockRef::from(&*socket).set_linger(Some(Duration::ZERO));
         }
     }
 }
 
+/// The body of a request or of an answer to a client.
 pub type Body = Full<Bytes>;
 
-/// What came back.
-pub struct Answer {
+/// A response.
+pub struct HttpResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
-    /// `None` if it did not come whole.
+    /// The body, or `None` if it was not received in full.
     pub body: Option<Bytes>,
-    /// How long it is, where it is longer than what is read, and was not read therefore.
-    pub too_long: Option<u64>,
-    /// More came than belongs to it.
+    /// Length of a body that was not read, as it exceeds the limit.
+    pub oversized_bytes: Option<u64>,
+    /// Whether more bytes were received than belong to the response.
     pub surplus: bool,
 }
 
-/// Why there is no answer.
+/// Why there is no response.
 #[derive(Debug)]
-pub enum Failure {
-    /// The connection broke before anything came back.
+pub enum ExchangeError {
+    /// The connection broke before anything was received.
     Broken(hyper::Error),
-    /// What came back can't be read, or its head does not end. [`Progress`] has the status in its first line.
-    Spoilt,
+    /// The response is unreadable, or its head did not end in time. [`Progress`] has the status of its status
+    /// line.
+    Unreadable,
 }
 
-impl std::fmt::Display for Failure {
+impl std::fmt::Display for ExchangeError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            Failure::Broken(e) => e.fmt(f),
-            Failure::Spoilt => f.write_str("an answer that can't be read"),
+            ExchangeError::Broken(e) => e.fmt(f),
+            ExchangeError::Unreadable => f.write_str("unreadable response"),
         }
     }
 }
 
-/// A connection with no exchange on it, or the one of its owner.
+/// A connection, with at most the one exchange of its owner.
 pub struct Conn {
     sender: http1::SendRequest<Body>,
-    driver: Pin<Box<http1::Connection<Stream, Body>>>,
+    driver: Pin<Box<http1::Connection<ObservedStream, Body>>>,
     driver_done: bool,
     driver_failed: bool,
     socket: Socket,
     progress: Rc<Progress>,
     reusable: bool,
-    /// Requests that it has carried.
+    /// Number of requests that the connection has carried.
     carried: u32,
 }
 
 impl Conn {
-    pub async fn open(address: SocketAddr, within: Duration) -> io::Result<Conn> {
-        let stream = timeout(within, TcpStream::connect(address))
+    /// Opens a connection.
+    pub async fn open(address: SocketAddr, connect_timeout: Duration) -> io::Result<Conn> {
+        let stream = timeout(connect_timeout, TcpStream::connect(address))
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-        Conn::on(stream).await
+        Conn::from_stream(stream).await
     }
 
-    /// On a connection that stands, with no exchange on it.
-    pub async fn on(stream: TcpStream) -> io::Result<Conn> {
+    /// Uses an established connection without an open exchange.
+    pub async fn from_stream(stream: TcpStream) -> io::Result<Conn> {
         stream.set_nodelay(true)?;
         let socket = Rc::new(RefCell::new(stream));
         let progress = Rc::new(Progress::default());
-        let stream = Stream { io: socket.clone(), progress: progress.clone() };
-        let handshake = http1::Builder::new().max_buf_size(MOST_HEAD).handshake(stream);
+        let stream = ObservedStream { socket: socket.clone(), progress: progress.clone() };
+        let handshake = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(stream);
         let (sender, driver) = handshake.await.map_err(io::Error::other)?;
         let (driver, driver_done, driver_failed) = (Box::pin(driver), false, false);
         Ok(Conn { sender, driver, driver_done, driver_failed, socket, progress, reusable: true, carried: 0 })
     }
 
-    /// Its socket, for another process. It goes on there with nothing left here but to drop this one.
-    pub fn to_pass(&self) -> io::Result<OwnedFd> {
+    /// Returns a duplicate of the socket for another process, after which this connection must only be
+    /// dropped.
+    pub fn duplicate_socket(&self) -> io::Result<OwnedFd> {
         self.socket.borrow().as_fd().try_clone_to_owned()
     }
 
-    /// Requests that it has carried.
+    /// Returns the number of requests that the connection has carried.
     pub fn carried(&self) -> u32 {
         self.carried
     }
 
-    /// The port on this side; 0 if it is gone.
+    /// Returns the local port, or 0 if the socket has none any more.
     pub fn local_port(&self) -> u16 {
         self.socket.borrow().local_addr().map_or(0, |address| address.port())
     }
 
+    /// Returns the progress of the current exchange, or the last one.
     pub fn progress(&self) -> Rc<Progress> {
         self.progress.clone()
     }
 
-    /// Whether the last exchange left it fit for another.
+    /// Returns whether the last exchange left the connection reusable.
     pub fn reusable(&self) -> bool {
         self.reusable && !self.driver_done
     }
 
-    /// Whether the next exchange may use it: the other side has neither closed it nor sent anything unasked.
-    /// The socket itself is asked, as the event loop may not have seen yet what has come.
+    /// Returns whether the next exchange may use the connection: the other side has neither closed it nor
+    /// sent unrequested data. It asks the socket itself, as the event loop may not have processed new input
+    /// yet.
     pub fn usable(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let socket = self.socket.borrow();
         let peeked = socket2::SockRef::from(&*socket).peek(&mut byte);
-        let quiet = peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock);
-        self.reusable() && quiet
+        let no_input = peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock);
+        self.reusable() && no_input
     }
 
-    /// Sends a request and waits for its answer, and then for its body, for so long and up to so much at most.
-    /// On an error [`Progress`] tells whether the request can have run.
+    /// Sends a request, waits for the response's head, and then reads its body within `body_timeout` and up
+    /// to `max_body_bytes`. After an error, [`Progress`] tells whether the request can have run.
     pub async fn exchange(
-        &mut self, request: Request<Body>, body_within: Duration, most: usize,
-    ) -> Result<Answer, Failure> {
+        &mut self, request: Request<Body>, body_timeout: Duration, max_body_bytes: usize,
+    ) -> Result<HttpResponse, ExchangeError> {
         self.reusable = false;
         self.carried = self.carried.saturating_add(1);
         self.progress.begin(request.body().size_hint().exact().unwrap_or(u64::MAX) as usize);
-        let mut under_way = UnderWay { socket: self.socket.clone(), over: false };
+        let mut reset_on_drop = ResetOnDrop { socket: self.socket.clone(), finished: false };
         let mut sending = Box::pin(self.sender.send_request(request));
-        let mut late = None;
+        let mut head_timeout = None;
         let response = poll_fn(|cx| {
             self.drive(cx);
             if let Poll::Ready(response) = sending.as_mut().poll(cx) {
                 return Poll::Ready(Some(response));
             }
-            if !self.progress.answer.borrow().amid_head() {
-                late = None;
+            if !self.progress.response.borrow().in_head() {
+                head_timeout = None;
                 return Poll::Pending;
             }
-            let late = late.get_or_insert_with(|| Box::pin(sleep(HEAD)));
-            late.as_mut().poll(cx).map(|()| None)
+            let head_timeout = head_timeout.get_or_insert_with(|| Box::pin(sleep(HEAD_TIMEOUT)));
+            head_timeout.as_mut().poll(cx).map(|()| None)
         })
         .await;
         drop(sending);
-        under_way.over = matches!(response, Some(Ok(_)));
+        reset_on_drop.finished = matches!(response, Some(Ok(_)));
         let (head, body) = match response {
             Some(Ok(response)) => response.into_parts(),
-            Some(Err(e)) if self.progress.answer.borrow().ahead == 0 => return Err(Failure::Broken(e)),
-            Some(Err(_)) | None => return Err(Failure::Spoilt),
+            Some(Err(e)) if self.progress.response.borrow().head_bytes == 0 => {
+                return Err(ExchangeError::Broken(e))
+            }
+            Some(Err(_)) | None => return Err(ExchangeError::Unreadable),
         };
         let length = body.size_hint().exact();
         let body = match length {
-            Some(length) if length > most as u64 => None,
-            _ => timeout(body_within, self.drain(body, most)).await.ok().flatten(),
+            Some(length) if length > max_body_bytes as u64 => None,
+            _ => timeout(body_timeout, self.read_body(body, max_body_bytes)).await.ok().flatten(),
         };
-        let part = self.progress.answer.borrow().part;
-        let behind = matches!(part, Part::Rest { bytes, .. } if length.is_some_and(|l| bytes > l));
-        let surplus = behind || self.driver_failed;
-        let too_long = length.filter(|length| *length > most as u64);
+        let state = self.progress.response.borrow().state;
+        let extra_bytes =
+            matches!(state, ScanState::AfterHead { bytes, .. } if length.is_some_and(|l| bytes > l));
+        let surplus = extra_bytes || self.driver_failed;
+        let oversized_bytes = length.filter(|length| *length > max_body_bytes as u64);
         self.reusable = body.is_some() && !surplus;
-        Ok(Answer { status: head.status, headers: head.headers, body, too_long, surplus })
+        Ok(HttpResponse { status: head.status, headers: head.headers, body, oversized_bytes, surplus })
     }
 
-    /// Lets hyper read and write. Nobody else does, so a connection with nothing on it costs nothing.
+    /// Lets hyper read and write. Nothing else drives the connection, so an idle connection costs nothing.
     fn drive(&mut self, cx: &mut Context) {
         if !self.driver_done {
             let driven = self.driver.as_mut().poll(cx);
@@ -411,8 +431,10 @@
         }
     }
 
-    async fn drain(&mut self, mut body: hyper::body::Incoming, most: usize) -> Option<Bytes> {
-        let mut all = Vec::new();
+    /// Reads the body and waits until the connection is ready for the next request; `None` if the body is too
+    /// long or incomplete.
+    async fn read_body(&mut self, mut body: hyper::body::Incoming, max_body_bytes: usize) -> Option<Bytes> {
+        let mut content = Vec::new();
         loop {
             let frame = poll_fn(|cx| {
                 self.drive(cx);
@@ -422,39 +444,39 @@
             match frame {
                 None => break,
                 Some(Err(_)) => return None,
-                Some(Ok(frame)) => all.extend_from_slice(frame.data_ref().map_or(&[][..], |d| d)),
+                Some(Ok(frame)) => content.extend_from_slice(frame.data_ref().map_or(&[][..], |d| d)),
             }
-            if all.len() > most {
+            if content.len() > max_body_bytes {
                 return None;
             }
         }
-        // The connection takes its next request only once its driver has seen the end of this one.
+        // The connection accepts the next request only after its driver has seen the end of this response.
         let ready = poll_fn(|cx| {
             self.drive(cx);
             self.sender.poll_ready(cx)
         });
-        let _closed_is_fine = ready.await;
-        Some(all.into())
+        let _also_when_closed = ready.await;
+        Some(content.into())
     }
 }
 
-/// How long to wait after so many failures in a row, with jitter, so that relays that lost the same agent do
-/// not come back to it together.
-pub fn backoff(failures: u32, (first, most): (u64, u64)) -> Duration {
-    let most = (first << failures.min(6)).min(most);
-    Duration::from_millis(fastrand::u64(most / 2..=most))
+/// Returns the pause after this many failures in a row, with jitter, so that relays that lost the same agent
+/// don't return to it together.
+pub fn backoff(failures: u32, (first_ms, max_ms): (u64, u64)) -> Duration {
+    let max_ms = (first_ms << failures.min(6)).min(max_ms);
+    Duration::from_millis(fastrand::u64(max_ms / 2..=max_ms))
 }
 
-/// A body of bytes.
+/// Makes a body of these bytes.
 pub fn bytes(body: impl Into<Bytes>) -> Body {
     Full::new(body.into())
 }
 
-/// Reads a body whole, up to `most` bytes.
-pub async fn collect(body: hyper::body::Incoming, most: usize) -> Result<Bytes, bool> {
-    let limited = http_body_util::Limited::new(body, most);
+/// Reads a body in full, up to `max_bytes`; the error tells whether it was longer.
+pub async fn collect(body: hyper::body::Incoming, max_bytes: usize) -> Result<Bytes, bool> {
+    let limited = http_body_util::Limited::new(body, max_bytes);
     match limited.collect().await {
-        Ok(all) => Ok(all.to_bytes()),
+        Ok(content) => Ok(content.to_bytes()),
         Err(e) => Err(e.is::<http_body_util::LengthLimitError>()),
     }
 }
--- a/crates/http/src/discovery.rs
+++ b/crates/http/src/discovery.rs
@@ -124,10 +124,10 @@
         if response.status != StatusCode::OK {
             return Err(format!("HTTP status {}", response.status).into());
         }
-        if let Some(size) = response.too_long {
+        if let Some(size) = response.oversized_bytes {
             return Err(FetchError::TooLarge { size, max_bytes: self.max_bytes });
         }
-        let body = response.body.ok_or_else(|| "the response body was incomplete".to_string())?;
+        let body = response.body.ok_or_else(|| "the response body was not received in full".to_string())?;
         self.conn = Some(conn);
         serde_json::from_slice(&body).map_err(|e| format!("malformed list: {e}").into())
     }
--- a/crates/http/src/notices.rs
+++ b/crates/http/src/notices.rs
@@ -3,7 +3,7 @@
 //! finished does no harm.
 
 use crate::audit::{self, Step};
-use crate::conn::{backoff, bytes, Conn, SMALL};
+use crate::conn::{backoff, bytes, Conn, MAX_SMALL_BODY_BYTES};
 use crate::handle::Handle;
 use hyper::{Request, StatusCode};
 use serde_json::json;
@@ -49,7 +49,8 @@
     };
     let request = Request::post("/v1/outcomes").header("Host", target.to_string()).body(bytes(body));
     let request = request.map_err(|e| e.to_string())?;
-    let answer = timeout(REQUEST_TIMEOUT, active.exchange(request, REQUEST_TIMEOUT, SMALL)).await;
+    let answer =
+        timeout(REQUEST_TIMEOUT, active.exchange(request, REQUEST_TIMEOUT, MAX_SMALL_BODY_BYTES)).await;
     let answer = answer.map_err(|_| "no answer in time".to_string())?.map_err(|e| e.to_string())?;
     *conn = Some(active);
     Ok(answer.status)
