--- a/crates/http/src/carrier.rs
+++ b/crates/http/src/carrier.rs
@@ -39,9 +39,11 @@
 const BUDGET_HEADER: HeaderName = HeaderName::from_static("x-budget");
 const IDEMPOTENCY_KEY_HEADER: HeaderName = HeaderName::from_static("idempotency-key");
 
+/// A known host.
 struct Host {
     /// The host's entry in the list.
     entry: Entry,
+    /// Whether the host has limits of its own, rather than those of its destination.
     own_limits: bool,
 }
 
@@ -54,18 +56,23 @@
 /// What shares one `Retry-After`: a destination, or one host where hosts have limits of their own.
 type EndpointGroupKey = (u64, Option<String>);
 
+/// The known hosts and the connections to them.
 #[derive(Default)]
 struct State {
     /// The hosts of the destinations in use, by name.
     hosts: HashMap<String, Host>,
     /// The names of the hosts of each destination.
     names_by_destination: HashMap<u64, HashSet<String>>,
+    /// When each group may be called again.
     retry_afters: HashMap<EndpointGroupKey, Instant>,
+    /// Number of connections that carry a call or are being established.
     open_connections: usize,
+    /// Connections without a call.
     idle: IdlePool<Conn>,
 }
 
 impl State {
+    /// Removes a host and its idle connections.
     fn remove(&mut self, name: &str) {
         if let Some(host) = self.hosts.remove(name) {
             self.remove_from_destination(host.entry.group, name);
@@ -73,6 +80,7 @@
         self.idle.drop_host(name);
     }
 
+    /// Removes a host's name from its destination.
     fn remove_from_destination(&mut self, destination: u64, name: &str) {
         let was_last = self
             .names_by_destination
@@ -106,7 +114,9 @@
     settings: CarrierSettings,
     /// All listed hosts.
     view: Rc<RefCell<View>>,
+    /// Idle time after which a connection is closed.
     idle_timeout: Duration,
+    /// Number of messages that were written in full.
     attempts_written: Rc<Cell<u64>>,
 }
 
@@ -373,6 +383,7 @@
         Ok((false, conn.map_err(|_| CallError::NoConnection)?, open_connection))
     }
 
+    /// Keeps a connection for reuse, if it is reusable and its host active.
     fn return_connection(&self, endpoint: &str, conn: Conn) {
         let mut state = self.state.borrow_mut();
         // Whether it is still usable is checked when it is reused.
@@ -542,6 +553,7 @@
     }
 }
 
+/// Returns the group that a host shares its `Retry-After` with.
 fn group_key(endpoint: &str, host: &Host) -> EndpointGroupKey {
     (host.entry.group, host.own_limits.then(|| endpoint.to_string()))
 }
--- a/crates/http/src/idle.rs
+++ b/crates/http/src/idle.rs
@@ -5,6 +5,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
+/// A connection in the pool.
 struct IdleConnection<C> {
     host: Rc<str>,
     since: Instant,
@@ -28,10 +29,12 @@
 }
 
 impl<C> IdlePool<C> {
+    /// Returns the number of connections.
     pub fn len(&self) -> usize {
         self.by_age.len()
     }
 
+    /// Adds a connection that is idle from `now` on.
     pub fn insert(&mut self, host: &str, now: Instant, conn: C) {
         let number = self.next_number;
         self.next_number += 1;
@@ -85,6 +88,7 @@
         self.by_host.retain(|_, numbers| !numbers.is_empty());
     }
 
+    /// Removes a connection's number from its host.
     fn remove_from_host(&mut self, host: &str, number: u64) {
         if let Some(numbers) = self.by_host.get_mut(host) {
             if let Ok(index) = numbers.binary_search(&number) {
--- a/crates/http/src/intake.rs
+++ b/crates/http/src/intake.rs
@@ -54,6 +54,7 @@
     Closing,
 }
 
+/// An answer to a client.
 type Reply = Response<Body>;
 /// Why a request is rejected: the status and a line of plain text.
 type RequestError = (StatusCode, &'static str);
@@ -176,12 +177,14 @@
     }
 }
 
+/// Makes an answer with a body of plain text.
 fn plain_response(status: StatusCode, why: &'static str) -> Reply {
     let mut reply = Response::new(bytes(why));
     *reply.status_mut() = status;
     reply
 }
 
+/// Makes a 503, with `Retry-After` if a time is given.
 fn refused_response(retry_after_ms: Option<f64>) -> Reply {
     let mut reply = plain_response(StatusCode::SERVICE_UNAVAILABLE, "");
     let seconds = retry_after_ms.map(|ms| format!("{:.3}", ms.max(0.0) / 1000.0));
--- a/crates/http/src/notices.rs
+++ b/crates/http/src/notices.rs
@@ -32,6 +32,7 @@
 }
 
 impl Notice {
+    /// Returns the notice as a line of JSON.
     fn line(&self) -> String {
         let line = match self.deferred {
             None => json!({"id": self.call_id, "status": "undeliverable"}),
@@ -42,6 +43,8 @@
     }
 }
 
+/// Sends one request with notices, on the connection that was kept or a new one, which is kept unless the
+/// request fails.
 async fn post(conn: &mut Option<Conn>, target: SocketAddr, body: String) -> Result<StatusCode, String> {
     let mut active = match conn.take().filter(Conn::usable) {
         Some(conn) => conn,
