--- a/crates/linenhall/tests/common/loaded.rs
+++ b/crates/linenhall/tests/common/loaded.rs
@@ -1,19 +1,19 @@
-//! A relay with so many destinations, held messages and slots, all hosts healthy, that takes and delivers.
-//! Used by the tests of scale and by the benchmark.
+//! A relay under load, with a given number of destinations, queued messages and slots; all hosts are healthy.
+//! Used by the scale tests and by the benchmark.
 use linenhall::*;
 use std::collections::VecDeque;
 
 pub struct Loaded {
     pub relay: Relay,
     pub now: f64,
-    pub out: Vec<Action>,
+    pub actions: Vec<Action>,
     rng: fastrand::Rng,
-    dests: u64,
-    next: u64,
-    flying: VecDeque<u64>,
+    destination_count: u64,
+    last_id: u64,
+    in_flight: VecDeque<u64>,
 }
 
-/// A class as wanted in a relay that holds for long.
+/// A class with a long deadline, so that queued messages do not expire.
 fn class(effect: Effect, value: f64) -> Class {
     Class {
         aim_ms: 2000.0,
@@ -53,14 +53,15 @@
 }
 
 impl Loaded {
-    /// Each destination has two endpoints. Calls are out in all slots, and `held` messages wait, those of the
-    /// busiest destinations most.
-    pub fn new(dests: u64, held: usize, slots: usize) -> Loaded {
-        let relay = Relay::new(settings(slots, 2 * held + 2 * slots + 100), 7);
+    /// Creates a relay with two endpoints for each destination, calls in flight in all slots and `queued`
+    /// messages waiting, most of them for the busiest destinations.
+    pub fn new(destination_count: u64, queued: usize, slots: usize) -> Loaded {
+        let relay = Relay::new(settings(slots, 2 * queued + 2 * slots + 100), 7);
         let rng = fastrand::Rng::with_seed(9);
-        let (now, next, flying) = (1000.0, 0, VecDeque::new());
-        let mut it = Loaded { relay, now, out: Vec::new(), rng, dests, next, flying };
-        let list = (0..dests).flat_map(|destination| {
+        let (now, last_id, in_flight) = (1000.0, 0, VecDeque::new());
+        let mut loaded =
+            Loaded { relay, now, actions: Vec::new(), rng, destination_count, last_id, in_flight };
+        let list = (0..destination_count).flat_map(|destination| {
             (0..2).map(move |n| Endpoint {
                 name: format!("h{destination}-{n}"),
                 destination,
@@ -70,44 +71,52 @@
                 status: EndpointStatus::Active,
             })
         });
-        it.give(&[Event::ListUpdate(ListUpdate::Full(list.collect()))]);
-        while it.next < (held + slots) as u64 {
-            let events: Vec<Event> = (0..256).map(|_| it.request()).collect();
-            it.give(&events);
-            it.now += 0.1;
+        loaded.handle(&[Event::ListUpdate(ListUpdate::Full(list.collect()))]);
+        while loaded.last_id < (queued + slots) as u64 {
+            let events: Vec<Event> = (0..256).map(|_| loaded.request()).collect();
+            loaded.handle(&events);
+            loaded.now += 0.1;
         }
-        // A round of deliveries, so that latencies are known.
-        (0..2 * slots.min(1000)).for_each(|_| it.step());
-        it
+        // Deliver some messages, so that latencies have been measured.
+        (0..2 * slots.min(1000)).for_each(|_| loaded.step());
+        loaded
     }
 
     pub fn request(&mut self) -> Event {
-        self.next += 1;
-        let (id, due) = (self.next, self.now + 3_600_000.0);
+        self.last_id += 1;
+        let (id, due) = (self.last_id, self.now + 3_600_000.0);
         let class = usize::from(self.rng.f64() < 0.35);
-        // A few destinations get much of the traffic.
-        let destination = (self.rng.f64().powi(2) * self.dests as f64) as u64;
+        // Squaring gives destinations with low numbers most of the traffic.
+        let destination = (self.rng.f64().powi(2) * self.destination_count as f64) as u64;
         Event::Request { id, class, tenant: self.rng.usize(0..3), key: None, due, destination }
     }
 
-    pub fn give(&mut self, events: &[Event]) {
-        self.out.clear();
-        self.relay.handle(self.now, events, &mut self.out);
-        let sent = self.out.iter().filter_map(|a| match a {
+    pub fn handle(&mut self, events: &[Event]) {
+        self.actions.clear();
+        self.relay.handle(self.now, events, &mut self.actions);
+        let sent = self.actions.iter().filter_map(|a| match a {
             Action::Send { id, .. } => Some(*id),
             _ => None,
         });
-        self.flying.extend(sent);
+        self.in_flight.extend(sent);
     }
 
-    /// One message handed in, and one delivery reported.
+    /// Submits one message and reports one delivery.
     pub fn step(&mut self) {
         self.now += 0.05;
         let request = self.request();
-        self.give(&[request]);
-        let Some(id) = self.flying.pop_front() else { return };
+        self.handle(&[request]);
+        let Some(id) = self.in_flight.pop_front() else { return };
         let report = Vec::new();
         let (outcome, took_ms) = (Outcome::Delivered, 100.0);
-        self.give(&[Event::Ended { id, attempt: 0, outcome, took_ms, settled: true, wait_ms: 0.0, report }]);
+        self.handle(&[Event::Ended {
+            id,
+            attempt: 0,
+            outcome,
+            took_ms,
+            settled: true,
+            wait_ms: 0.0,
+            report,
+        }]);
     }
 }
--- a/crates/linenhall/tests/common/mod.rs
+++ b/crates/linenhall/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A relay driven by hand: settings of no deployment, a clock, and what it did.
+//! Test harness around one [`Relay`]: default settings, a manual clock and the actions of the last call.
 #![allow(dead_code)]
 use linenhall::*;
 
@@ -46,107 +46,122 @@
     Endpoint { name: name.into(), destination, zone: 0, kind: 0, weight: 1.0, status: EndpointStatus::Active }
 }
 
-pub struct Rig {
+pub struct Harness {
     pub relay: Relay,
     pub now: f64,
-    pub last: Vec<Action>,
-    next: u64,
+    /// Actions returned by the last call of [`Harness::handle`].
+    pub last_actions: Vec<Action>,
+    last_id: u64,
 }
 
-impl Rig {
-    /// A relay that knows one endpoint `hN` for each destination N below `dests`.
-    pub fn new(settings: Settings, dests: u64) -> Rig {
-        Rig::listed(settings, (0..dests).map(|d| endpoint(&format!("h{d}"), d)).collect())
+impl Harness {
+    /// Creates a relay with one endpoint `hN` for each destination N below `destination_count`.
+    pub fn new(settings: Settings, destination_count: u64) -> Harness {
+        Harness::with_list(settings, (0..destination_count).map(|d| endpoint(&format!("h{d}"), d)).collect())
     }
 
-    pub fn listed(settings: Settings, list: Vec<Endpoint>) -> Rig {
-        Rig::seeded(settings, list, 7)
+    pub fn with_list(settings: Settings, list: Vec<Endpoint>) -> Harness {
+        Harness::with_list_and_seed(settings, list, 7)
     }
 
-    pub fn seeded(settings: Settings, list: Vec<Endpoint>, seed: u64) -> Rig {
-        let mut rig = Rig { relay: Relay::new(settings, seed), now: 1000.0, last: Vec::new(), next: 0 };
-        rig.give(&[Event::ListUpdate(ListUpdate::Cached(list))]);
-        rig
+    pub fn with_list_and_seed(settings: Settings, list: Vec<Endpoint>, seed: u64) -> Harness {
+        let mut harness =
+            Harness { relay: Relay::new(settings, seed), now: 1000.0, last_actions: Vec::new(), last_id: 0 };
+        harness.handle(&[Event::ListUpdate(ListUpdate::Cached(list))]);
+        harness
     }
 
-    /// Hands in events at the present time and returns what was sent: request and endpoint.
-    pub fn give(&mut self, events: &[Event]) -> Vec<(u64, String)> {
-        self.last.clear();
-        self.relay.handle(self.now, events, &mut self.last);
-        let sent = self.last.iter().filter_map(|a| match a {
+    /// Handles events at the current time and returns the attempts sent: request id and endpoint name.
+    pub fn handle(&mut self, events: &[Event]) -> Vec<(u64, String)> {
+        self.last_actions.clear();
+        self.relay.handle(self.now, events, &mut self.last_actions);
+        let sent = self.last_actions.iter().filter_map(|a| match a {
             Action::Send { id, endpoint, .. } => Some((*id, endpoint.clone())),
             _ => None,
         });
         sent.collect()
     }
 
-    /// Hands in events and gives the timers that are asked for.
-    pub fn relay_only(&mut self, events: &[Event]) -> Vec<f64> {
-        let mut out = Vec::new();
-        self.relay.handle(self.now, events, &mut out);
-        out.iter().filter_map(|a| if let Action::Timer { at, .. } = a { Some(*at) } else { None }).collect()
+    /// Handles events without recording the actions and returns the times of the timers that were set.
+    pub fn handle_returning_timers(&mut self, events: &[Event]) -> Vec<f64> {
+        let mut actions = Vec::new();
+        self.relay.handle(self.now, events, &mut actions);
+        actions
+            .iter()
+            .filter_map(|a| if let Action::Timer { at, .. } = a { Some(*at) } else { None })
+            .collect()
     }
 
-    pub fn wait(&mut self, ms: f64) -> Vec<(u64, String)> {
+    /// Advances the clock by `ms`, fires a timer and returns the attempts sent.
+    pub fn advance(&mut self, ms: f64) -> Vec<(u64, String)> {
         self.now += ms;
-        self.give(&[Event::Timer { token: 0 }])
+        self.handle(&[Event::Timer { token: 0 }])
     }
 
+    /// Builds the event of a new request, which is not handled yet, and returns its id with it.
     pub fn request(&mut self, class: usize, destination: u64) -> (u64, Event) {
-        self.request_key(class, destination, None)
+        self.request_with_key(class, destination, None)
     }
 
-    pub fn request_key(&mut self, class: usize, destination: u64, key: Option<&str>) -> (u64, Event) {
-        self.next += 1;
-        let (id, key) = (self.next, key.map(String::from));
+    pub fn request_with_key(&mut self, class: usize, destination: u64, key: Option<&str>) -> (u64, Event) {
+        self.last_id += 1;
+        let (id, key) = (self.last_id, key.map(String::from));
         let due = self.now + 10000.0;
         (id, Event::Request { id, class, tenant: 0, key, due, destination })
     }
 
-    /// Takes one request and returns its id and whether it went straight out.
-    pub fn ask(&mut self, class: usize, destination: u64) -> (u64, bool) {
+    /// Submits one request and returns its id and whether it was sent at once.
+    pub fn submit(&mut self, class: usize, destination: u64) -> (u64, bool) {
         let (id, event) = self.request(class, destination);
-        let sent = self.give(&[event]);
+        let sent = self.handle(&[event]);
         (id, sent.iter().any(|s| s.0 == id))
     }
 
-    pub fn end(&mut self, id: u64, attempt: u32, outcome: Outcome, took_ms: f64) -> Vec<(u64, String)> {
-        self.give(&[ended(id, attempt, outcome, took_ms)])
+    pub fn end_attempt(
+        &mut self, id: u64, attempt: u32, outcome: Outcome, took_ms: f64,
+    ) -> Vec<(u64, String)> {
+        self.handle(&[ended(id, attempt, outcome, took_ms)])
     }
 
-    /// Delivers so many requests, one after the other, each within `took` milliseconds.
-    pub fn warm_up(&mut self, destination: u64, count: usize, took: f64) {
+    /// Delivers `count` requests one after the other, each in `took_ms`.
+    pub fn warm_up(&mut self, destination: u64, count: usize, took_ms: f64) {
         for _ in 0..count {
-            let (id, sent) = self.ask(SAFE, destination);
-            assert!(sent, "a healthy destination takes a request straight out");
-            self.now += took;
-            self.end(id, 0, Outcome::Delivered, took);
+            let (id, sent) = self.submit(SAFE, destination);
+            assert!(sent, "a request for a healthy destination was not sent at once");
+            self.now += took_ms;
+            self.end_attempt(id, 0, Outcome::Delivered, took_ms);
         }
     }
 
+    /// Whether the last call refused the request.
     pub fn refused(&self, id: u64) -> bool {
-        self.last.iter().any(|a| matches!(a, Action::Refuse { id: x, .. } if *x == id))
+        self.last_actions.iter().any(|a| matches!(a, Action::Refuse { id: x, .. } if *x == id))
     }
 
+    /// Whether the last call failed the request.
     pub fn failed(&self, id: u64) -> bool {
-        self.last.contains(&Action::Fail { id })
+        self.last_actions.contains(&Action::Fail { id })
     }
 
+    /// Whether a log line of the last call contains `words`.
     pub fn logged(&self, words: &str) -> bool {
-        self.last.iter().any(|a| matches!(a, Action::Log(text) if text.contains(words)))
+        self.last_actions.iter().any(|a| matches!(a, Action::Log(text) if text.contains(words)))
     }
 
+    /// Whether the last call cancelled an attempt of the request.
     pub fn cancelled(&self, id: u64) -> bool {
-        self.last.iter().any(|a| matches!(a, Action::Cancel { id: x, .. } if *x == id))
+        self.last_actions.iter().any(|a| matches!(a, Action::Cancel { id: x, .. } if *x == id))
     }
 }
 
+/// The event of an attempt's end without Retry-After and load report; only a delivery settles the request.
 pub fn ended(id: u64, attempt: u32, outcome: Outcome, took_ms: f64) -> Event {
     let settled = outcome == Outcome::Delivered;
     Event::Ended { id, attempt, outcome, took_ms, settled, wait_ms: 0.0, report: Vec::new() }
 }
 
-pub fn full(id: u64, attempt: u32, wait_ms: f64) -> Event {
+/// The event of an attempt that the endpoint turned away as full, with a Retry-After of `wait_ms` (0: none).
+pub fn ended_full(id: u64, attempt: u32, wait_ms: f64) -> Event {
     let outcome = Outcome::Full;
     Event::Ended { id, attempt, outcome, took_ms: 1.0, settled: false, wait_ms, report: Vec::new() }
 }
--- a/crates/linenhall/tests/learnt_state.rs
+++ b/crates/linenhall/tests/learnt_state.rs
@@ -1,75 +1,89 @@
-//! What a relay has learnt goes on in the next process: a pace, a ramp's sends, latencies, what a slot is spent on.
+//! Learnt state is passed on to the next process of a relay: rate limits, the sends of a slow start,
+//! latencies and the time that slots are spent on.
 mod common;
 use common::*;
 use linenhall::*;
 
-/// The next process of a relay, at the same time; `with`: it is told what was learnt.
-fn next(rig: &Rig, s: Settings, dests: u64, with: bool) -> Rig {
-    let mut next = Rig::new(s, dests);
-    next.now = rig.now;
-    let mut events = vec![Event::Outages(rig.relay.outages())];
-    let told = rig.relay.learnt(rig.now);
-    events.extend(told.parts(1).into_iter().filter(|_| with).map(|part| Event::Learnt(Box::new(part))));
-    next.give(&events);
-    next.relay.audit().expect("it stands up to an audit");
+/// Returns the next process of a relay at the same time. It gets the learnt state if `with_learnt` is set.
+fn next_process(harness: &Harness, settings: Settings, destination_count: u64, with_learnt: bool) -> Harness {
+    let mut next = Harness::new(settings, destination_count);
+    next.now = harness.now;
+    let mut events = vec![Event::Outages(harness.relay.outages())];
+    let learnt = harness.relay.learnt(harness.now);
+    events.extend(
+        learnt.parts(1).into_iter().filter(|_| with_learnt).map(|part| Event::Learnt(Box::new(part))),
+    );
+    next.handle(&events);
+    next.relay.audit().expect("audit of the next process failed");
     next
 }
 
-/// A relay that has seen something of all: deliveries, a refusal, errors, an outage, a return.
-fn seasoned() -> Rig {
-    let mut rig = Rig::new(settings(), 4);
-    rig.warm_up(0, 20, 40.0);
-    rig.warm_up(1, 20, 300.0);
-    let (id, _) = rig.ask(SAFE, 1);
-    rig.give(&[full(id, 0, 0.0)]);
+/// A relay that has seen deliveries, a refusal and an outage.
+fn relay_with_history() -> Harness {
+    let mut harness = Harness::new(settings(), 4);
+    harness.warm_up(0, 20, 40.0);
+    harness.warm_up(1, 20, 300.0);
+    let (id, _) = harness.submit(SAFE, 1);
+    harness.handle(&[ended_full(id, 0, 0.0)]);
     for _ in 0..12 {
-        let (id, sent) = rig.ask(SAFE, 2);
-        rig.now += 30.0;
+        let (id, sent) = harness.submit(SAFE, 2);
+        harness.now += 30.0;
         if sent {
-            rig.end(id, 0, Outcome::NoConnection, 30.0);
+            harness.end_attempt(id, 0, Outcome::NoConnection, 30.0);
         }
     }
-    rig
+    harness
 }
 
+/// Guards against learnt state that is lost or changed when it is passed on in parts or serialized.
 #[test]
-fn it_comes_out_as_it_went_in_also_in_parts_and_as_text() {
-    let rig = seasoned();
-    let told = rig.relay.learnt(rig.now);
+fn learnt_state_survives_transfer_in_parts_and_serialization() {
+    let harness = relay_with_history();
+    let learnt = harness.relay.learnt(harness.now);
     assert!(
-        told.lanes.iter().any(|l| l.pace.is_some()) && told.lanes.iter().any(|l| l.fails > 0 && l.failing)
+        learnt.lanes.iter().any(|l| l.pace.is_some())
+            && learnt.lanes.iter().any(|l| l.fails > 0 && l.failing)
     );
-    assert!(told.hosts.iter().any(|h| h.fails > 0) && told.dests.len() >= 2);
-    let next = next(&rig, settings(), 4, true);
+    assert!(learnt.hosts.iter().any(|h| h.fails > 0) && learnt.dests.len() >= 2);
+    let next = next_process(&harness, settings(), 4, true);
     let again = next.relay.learnt(next.now);
-    assert_eq!(again.hosts, told.hosts);
-    assert_eq!(again.dests, told.dests);
-    assert_eq!(again.all, told.all);
-    for (a, b) in again.lanes.iter().zip(&told.lanes) {
+    assert_eq!(again.hosts, learnt.hosts);
+    assert_eq!(again.dests, learnt.dests);
+    assert_eq!(again.all, learnt.all);
+    for (a, b) in again.lanes.iter().zip(&learnt.lanes) {
         assert_eq!(
             (a.latency, a.pace, a.sends.len()),
             (b.latency, b.pace, b.sends.len()),
-            "{}",
+            "latency, rate limit or sends of destination {} differ",
+            a.destination
+        );
+        assert_eq!(
+            (a.fails, a.failing, a.good),
+            (b.fails, b.failing, b.good),
+            "failures of destination {} differ",
             a.destination
         );
-        assert_eq!((a.fails, a.failing, a.good), (b.fails, b.failing, b.good), "{}", a.destination);
         assert!((a.usual.sum - b.usual.sum).abs() < 1e-9 && (a.trial_in - b.trial_in).abs() < 1e-6);
     }
-    let text = serde_json::to_string(&told).expect("it has a text");
-    let read: Learnt = serde_json::from_str(&text).expect("it can be read");
-    assert_eq!((&read.hosts, &read.dests, read.lanes.len()), (&told.hosts, &told.dests, told.lanes.len()));
-    // A text may lose the last bit of a figure.
+    let text = serde_json::to_string(&learnt).expect("learnt state was not serialized");
+    let read: Learnt = serde_json::from_str(&text).expect("serialized learnt state was not read");
+    assert_eq!(
+        (&read.hosts, &read.dests, read.lanes.len()),
+        (&learnt.hosts, &learnt.dests, learnt.lanes.len())
+    );
+    // The text form may lose the last bit of a number.
     let near = |a: f64, b: f64| (a - b).abs() < 1e-9;
     assert!(read
         .lanes
         .iter()
-        .zip(&told.lanes)
+        .zip(&learnt.lanes)
         .all(|(a, b)| near(a.tokens, b.tokens) && a.sends.len() == b.sends.len()));
 }
 
-/// Another version tells less, or more, or what can't be reckoned with.
+/// Guards against a failure on learnt state from another version, which may lack fields, have further ones,
+/// or contain absurd numbers.
 #[test]
-fn what_another_version_tells_does_no_harm() {
+fn learnt_state_of_another_version_is_handled_safely() {
     let texts = [
         "{}",
         r#"{"lanes":[{"destination":0}],"weather":[1,2]}"#,
@@ -78,88 +92,91 @@
             "trial_in":1e300,"sends":[[-1e300,1e300]],"soon":{"sum":-3,"age":-1}}],"tenants":[{"sum":1e300}]}"#,
     ];
     for text in texts {
-        let told: Learnt = serde_json::from_str(text).expect(text);
-        let mut rig = Rig::new(settings(), 2);
-        rig.give(&[Event::Learnt(Box::new(told))]);
-        rig.relay.audit().expect(text);
+        let learnt: Learnt = serde_json::from_str(text).expect(text);
+        let mut harness = Harness::new(settings(), 2);
+        harness.handle(&[Event::Learnt(Box::new(learnt))]);
+        harness.relay.audit().expect(text);
         for n in 0..40 {
-            let (id, sent) = rig.ask(SAFE, n % 2);
-            rig.now += 50.0;
+            let (id, sent) = harness.submit(SAFE, n % 2);
+            harness.now += 50.0;
             if sent {
-                rig.end(id, 0, Outcome::Delivered, 50.0);
+                harness.end_attempt(id, 0, Outcome::Delivered, 50.0);
             }
         }
-        rig.relay.audit().expect(text);
+        harness.relay.audit().expect(text);
     }
 }
 
-/// After a refusal a pace holds. A process that forgot it would send the whole hold at once.
+/// After refusals a rate limit is in force. A next process without it would send its whole queue at once.
 #[test]
-fn a_pace_goes_on() {
-    let sent = |with: bool| {
-        let s = Settings { slots: 40, ..settings() };
-        let mut rig = Rig::new(s.clone(), 2);
-        rig.warm_up(0, 30, 100.0);
+fn a_rate_limit_stays_in_force_in_the_next_process() {
+    let sent = |with_learnt: bool| {
+        let settings = Settings { slots: 40, ..settings() };
+        let mut harness = Harness::new(settings.clone(), 2);
+        harness.warm_up(0, 30, 100.0);
         for _ in 0..3 {
-            let (id, _) = rig.ask(SAFE, 0);
-            rig.now += 600.0;
-            rig.give(&[full(id, 0, 0.0)]);
+            let (id, _) = harness.submit(SAFE, 0);
+            harness.now += 600.0;
+            harness.handle(&[ended_full(id, 0, 0.0)]);
         }
-        let mut next = next(&rig, s, 2, with);
-        (0..20).filter(|_| next.ask(SAFE, 0).1).count()
+        let mut next = next_process(&harness, settings, 2, with_learnt);
+        (0..20).filter(|_| next.submit(SAFE, 0).1).count()
     };
-    assert!(sent(true) <= 2, "{} sent at once", sent(true));
-    assert!(sent(false) >= 15, "what this guards against");
+    assert!(sent(true) <= 2, "{} requests sent at once although a rate limit was learnt", sent(true));
+    assert!(sent(false) >= 15, "the test shows nothing: the rate limit is in force without learnt state");
 }
 
-/// A destination that came back is sent what it bears, over both processes together.
+/// The load allowed during slow start holds for both processes together. A next process that does not count
+/// the sends of the previous one would spend the allowance a second time.
 #[test]
-fn a_ramp_counts_what_the_process_before_sent() {
-    let sent = |with: bool| {
-        let s = Settings { slots: 40, ..settings() };
-        let mut rig = Rig::new(s.clone(), 1);
-        rig.warm_up(0, 60, 100.0);
-        let mut tries = std::collections::BTreeMap::<u64, u32>::new();
-        // Calls fail until it is out; then trials are delivered until it ramps, and gets what it bears at once.
-        let mut out: Vec<(u64, u32)> = (0..5).map(|_| (rig.ask(SAFE, 0).0, 0)).collect();
-        let (mut is_out, mut is_back, start) = (false, false, rig.now);
-        while !is_back {
-            let outcome = if is_out { Outcome::Delivered } else { Outcome::NoConnection };
-            let mut sends = rig.wait(20.0);
-            for (id, attempt) in std::mem::take(&mut out) {
-                sends.extend(rig.end(id, attempt, outcome, 20.0));
-                sends.iter().for_each(|s| out.retain(|o| o.0 != s.0));
-                is_back |= rig.logged("back");
-                is_out |= rig.logged("out:");
+fn slow_start_counts_the_sends_of_the_previous_process() {
+    let sent = |with_learnt: bool| {
+        let settings = Settings { slots: 40, ..settings() };
+        let mut harness = Harness::new(settings.clone(), 1);
+        harness.warm_up(0, 60, 100.0);
+        let mut attempts = std::collections::BTreeMap::<u64, u32>::new();
+        // Calls fail until the breaker opens. Then half-open trials are delivered until slow start begins,
+        // and its allowance is sent at once.
+        let mut in_flight: Vec<(u64, u32)> = (0..5).map(|_| (harness.submit(SAFE, 0).0, 0)).collect();
+        let (mut is_open, mut has_recovered, start) = (false, false, harness.now);
+        while !has_recovered {
+            let outcome = if is_open { Outcome::Delivered } else { Outcome::NoConnection };
+            let mut sent = harness.advance(20.0);
+            for (id, attempt) in std::mem::take(&mut in_flight) {
+                sent.extend(harness.end_attempt(id, attempt, outcome, 20.0));
+                sent.iter().for_each(|s| in_flight.retain(|o| o.0 != s.0));
+                has_recovered |= harness.logged("back");
+                is_open |= harness.logged("out:");
             }
-            for (id, _) in sends {
-                let attempt = tries.entry(id).or_insert(0);
+            for (id, _) in sent {
+                let attempt = attempts.entry(id).or_insert(0);
                 *attempt += 1;
-                out.push((id, *attempt));
+                in_flight.push((id, *attempt));
             }
-            assert!(rig.now < start + 20000.0, "it comes back");
+            assert!(harness.now < start + 20000.0, "the destination does not recover");
         }
-        while rig.ask(SAFE, 0).1 {}
-        let mut next = next(&rig, s, 1, with);
-        (0..20).filter(|_| next.ask(SAFE, 0).1).count()
+        while harness.submit(SAFE, 0).1 {}
+        let mut next = next_process(&harness, settings, 1, with_learnt);
+        (0..20).filter(|_| next.submit(SAFE, 0).1).count()
     };
-    assert_eq!(sent(true), 0, "the budget is spent");
-    assert!(sent(false) > 0, "what this guards against");
+    assert_eq!(sent(true), 0, "more was sent than slow start allows");
+    assert!(sent(false) > 0, "the test shows nothing: no request is sent without learnt state");
 }
 
-/// With its latency known a call counts as late when it is; else only after the class's aim.
+/// A call without an answer is cancelled once it exceeds the known latency. A next process that does not know
+/// the latency would wait for the aim of the class and block a slot for that time.
 #[test]
-fn a_lost_call_holds_no_slot_for_long_after_a_takeover() {
-    let off_after = |with: bool| {
-        let s = Settings { slots: 1, ..settings() };
-        let mut rig = Rig::new(s.clone(), 2);
-        rig.warm_up(0, 20, 40.0);
-        let (lost, sent) = rig.ask(SAFE, 0);
+fn a_lost_call_is_cancelled_soon_after_a_takeover() {
+    let cancelled_after_ms = |with_learnt: bool| {
+        let settings = Settings { slots: 1, ..settings() };
+        let mut harness = Harness::new(settings.clone(), 2);
+        harness.warm_up(0, 20, 40.0);
+        let (lost, sent) = harness.submit(SAFE, 0);
         assert!(sent);
-        let (due, sent_at) = (rig.now + 10000.0, rig.now);
-        let mut next = Rig::new(s, 2);
-        next.now = rig.now;
-        let told = rig.relay.learnt(rig.now);
+        let (due, sent_at) = (harness.now + 10000.0, harness.now);
+        let mut next = Harness::new(settings, 2);
+        next.now = harness.now;
+        let learnt = harness.relay.learnt(harness.now);
         let restored = Event::Restored {
             id: lost,
             class: SAFE,
@@ -173,17 +190,26 @@
             untried: true,
         };
         let resumed = Event::Resumed { id: lost, endpoint: "h0".into(), sent: sent_at };
-        let learnt = with.then(|| Event::Learnt(Box::new(told)));
-        next.give(&learnt.into_iter().chain([restored, resumed]).collect::<Vec<_>>());
-        // A message for another destination waits for the only slot. Its id must not be the lost one's.
+        let learnt = with_learnt.then(|| Event::Learnt(Box::new(learnt)));
+        next.handle(&learnt.into_iter().chain([restored, resumed]).collect::<Vec<_>>());
+        // A message for another destination waits for the only slot. Its id must differ from that of the lost
+        // one.
         while next.request(SAFE, 1).0 < lost {}
-        next.ask(SAFE, 1);
+        next.submit(SAFE, 1);
         while !next.cancelled(lost) {
-            next.wait(5.0);
-            assert!(next.now < sent_at + 5000.0, "it is called off");
+            next.advance(5.0);
+            assert!(next.now < sent_at + 5000.0, "the lost call is not cancelled");
         }
         next.now - sent_at
     };
-    assert!(off_after(true) < 200.0, "{} ms", off_after(true));
-    assert!(off_after(false) > 900.0, "what this guards against: {} ms", off_after(false));
+    assert!(
+        cancelled_after_ms(true) < 200.0,
+        "the lost call was cancelled only after {} ms",
+        cancelled_after_ms(true)
+    );
+    assert!(
+        cancelled_after_ms(false) > 900.0,
+        "the test shows nothing: cancelled after {} ms without learnt state",
+        cancelled_after_ms(false)
+    );
 }
--- a/crates/linenhall/tests/memory.rs
+++ b/crates/linenhall/tests/memory.rs
@@ -1,56 +1,65 @@
-//! What is remembered does not grow with time: endpoints are replaced, requests end, and nothing of them stays.
+//! Checks that the memory of a relay does not grow while endpoints are replaced and requests end.
 mod common;
 use common::*;
 use linenhall::*;
 
-fn with(name: &str, destination: u64, kind: usize, listed: EndpointStatus) -> Endpoint {
-    Endpoint { kind, status: listed, ..endpoint(name, destination) }
+fn endpoint_with(name: &str, destination: u64, kind: usize, status: EndpointStatus) -> Endpoint {
+    Endpoint { kind, status, ..endpoint(name, destination) }
 }
 
-/// Five hundred generations, told by changes alone, as a watch tells them. Some endpoints go with a call out that ends later,
-/// some destinations are routes apart.
+/// Guards against state of removed endpoints that is never freed. Every endpoint is replaced 500 times by
+/// delta updates, as a watch sends them; some are removed while a call to them is in flight, and the
+/// endpoints of kind 2 have limits of their own.
 #[test]
-fn replaced_endpoints_leave_nothing_behind() {
+fn removed_endpoints_leave_no_state() {
     for kind in [0, 2] {
-        let mut rig = Rig::listed(
+        let mut harness = Harness::with_list(
             settings(),
-            (0..4).map(|d| with(&format!("g0-{d}"), d, kind, EndpointStatus::Active)).collect(),
+            (0..4).map(|d| endpoint_with(&format!("g0-{d}"), d, kind, EndpointStatus::Active)).collect(),
         );
-        let mut bound = [0; 4];
+        let mut sizes_after_ten = [0; 4];
         for generation in 1..=500 {
-            let mut out = Vec::new();
-            for dest in 0..4 {
-                let (id, sent) = rig.ask(SAFE, dest);
-                assert!(sent, "generation {generation}");
-                if (generation + dest) % 3 == 0 {
-                    out.push(id);
+            let mut in_flight = Vec::new();
+            for destination in 0..4 {
+                let (id, sent) = harness.submit(SAFE, destination);
+                assert!(sent, "generation {generation}: a request was not sent at once");
+                if (generation + destination) % 3 == 0 {
+                    in_flight.push(id);
                 } else {
-                    rig.end(id, 0, Outcome::Delivered, 10.0);
+                    harness.end_attempt(id, 0, Outcome::Delivered, 10.0);
                 }
             }
-            rig.now += 100.0;
-            let name = |g: u64, dest: u64| format!("g{g}-{dest}");
-            for listed in [EndpointStatus::Draining, EndpointStatus::Removed] {
+            harness.now += 100.0;
+            let name = |g: u64, destination: u64| format!("g{g}-{destination}");
+            for status in [EndpointStatus::Draining, EndpointStatus::Removed] {
                 let changes = (0..4).flat_map(|d| {
                     [
-                        with(&name(generation - 1, d), d, kind, listed),
-                        with(&name(generation, d), d, kind, EndpointStatus::Active),
+                        endpoint_with(&name(generation - 1, d), d, kind, status),
+                        endpoint_with(&name(generation, d), d, kind, EndpointStatus::Active),
                     ]
                 });
-                rig.give(&[Event::ListUpdate(ListUpdate::Delta(changes.collect()))]);
+                harness.handle(&[Event::ListUpdate(ListUpdate::Delta(changes.collect()))]);
             }
-            for id in out {
-                rig.end(id, 0, Outcome::Delivered, 110.0);
+            for id in in_flight {
+                harness.end_attempt(id, 0, Outcome::Delivered, 110.0);
             }
-            rig.now += 100.0;
-            // A watch that ends without news.
-            rig.give(&[Event::ListUpdate(ListUpdate::Delta(Vec::new()))]);
-            rig.relay.audit().unwrap();
+            harness.now += 100.0;
+            // A watch that ends without changes.
+            harness.handle(&[Event::ListUpdate(ListUpdate::Delta(Vec::new()))]);
+            harness.relay.audit().unwrap();
             if generation == 10 {
-                bound = rig.relay.sizes();
+                sizes_after_ten = harness.relay.sizes();
             }
         }
-        assert_eq!(rig.relay.sizes(), bound, "kind {kind}: as much as after ten generations");
-        assert_eq!(bound, [0, 0, 4, 4], "kind {kind}: what is listed, and nothing else");
+        assert_eq!(
+            harness.relay.sizes(),
+            sizes_after_ten,
+            "kind {kind}: state has grown since generation 10"
+        );
+        assert_eq!(
+            sizes_after_ten,
+            [0, 0, 4, 4],
+            "kind {kind}: there is state besides that of the listed endpoints"
+        );
     }
 }
--- a/crates/linenhall/tests/recorded.rs
+++ b/crates/linenhall/tests/recorded.rs
@@ -1,11 +1,11 @@
-//! Guards against changes of the stored form: a relay reads what an earlier version wrote, and versions run beside
-//! each other during a takeover.
+//! Guards against changes of serialized forms: during a takeover two versions run side by side, and one reads
+//! the learnt state that the other wrote.
 use linenhall::{Learnt, LearntDestination, LearntGroup, LearntHost, Outcome, Rate};
 
 const SAMPLE: &str = include_str!("recorded/learnt.json");
 
 fn learnt() -> Learnt {
-    let lane = LearntGroup {
+    let group = LearntGroup {
         destination: 41,
         endpoint: "h1".into(),
         latency: Some((21.5, 3.25)),
@@ -25,7 +25,7 @@
         good: Some(77.5),
     };
     Learnt {
-        lanes: vec![lane],
+        lanes: vec![group],
         hosts: vec![LearntHost { endpoint: "h2".into(), fails: 6, shun_in: 333.5 }],
         dests: vec![LearntDestination { destination: 42, spent: (15.5, 99.25) }],
         tenants: vec![Rate { sum: 8.5, age: Some(700.5) }],
@@ -34,15 +34,15 @@
 }
 
 #[test]
-fn the_recorded_learnt_state_is_read_and_written_as_it_was() {
+fn recorded_learnt_state_is_read_and_written_unchanged() {
     let read: Learnt = serde_json::from_str(SAMPLE).unwrap();
     assert_eq!(read, learnt());
     assert_eq!(serde_json::to_string(&read).unwrap() + "\n", SAMPLE);
 }
 
-/// The audit's lines carry these names.
+/// The lines of the audit log contain these names.
 #[test]
-fn outcomes_print_under_their_recorded_names() {
+fn outcomes_print_with_their_recorded_names() {
     let names = [
         (Outcome::Delivered, "Delivered"),
         (Outcome::Error, "Error"),
--- a/crates/linenhall/tests/regressions.rs
+++ b/crates/linenhall/tests/regressions.rs
@@ -1,296 +1,326 @@
-//! One test for each failure that the bench found.
+//! One regression test for each failure that was found in simulations.
 mod common;
 use common::*;
 use linenhall::*;
 
-/// Found on the standard days: with no pace set, sends ran the bucket into debt for a later pace.
+/// Guards against a token bucket that goes into debt while no rate limit is set. When a refusal then sets
+/// one, the debt blocks the destination for a long time.
 #[test]
-fn a_refusal_after_many_sends_does_not_shut_the_destination_for_long() {
-    let mut rig = Rig::new(settings(), 1);
-    rig.warm_up(0, 50, 20.0);
-    let (id, _) = rig.ask(SAFE, 0);
-    rig.give(&[full(id, 0, 0.0)]);
-    let sent = (0..300).flat_map(|_| rig.wait(5.0)).count();
-    assert_eq!(sent, 1, "sent again within 1.5 s");
+fn a_refusal_after_many_sends_does_not_block_the_destination_for_long() {
+    let mut harness = Harness::new(settings(), 1);
+    harness.warm_up(0, 50, 20.0);
+    let (id, _) = harness.submit(SAFE, 0);
+    harness.handle(&[ended_full(id, 0, 0.0)]);
+    let sent = (0..300).flat_map(|_| harness.advance(5.0)).count();
+    assert_eq!(sent, 1, "not sent again once within 1.5 s");
 }
 
-/// i50d7bd: what is held for a dead destination filled the hold.
+/// Guards against a queue that fills up with messages for a destination that does not answer, so that
+/// messages for healthy ones are refused (found in i50d7bd).
 #[test]
-fn a_full_hold_refuses_for_the_dead_destination_first() {
-    let mut rig = Rig::new(Settings { max_open: 12, ..settings() }, 2);
-    rig.warm_up(1, 20, 10.0);
-    // Destination 0 fails until it is out.
-    let asked: Vec<_> = (0..6).map(|_| rig.request(SAFE, 0)).collect();
-    rig.give(&asked.iter().map(|x| x.1.clone()).collect::<Vec<_>>());
-    rig.now += 10.0;
-    rig.give(&asked.iter().map(|x| ended(x.0, 0, Outcome::Broken, 10.0)).collect::<Vec<_>>());
+fn a_full_queue_sheds_messages_for_a_failing_destination_first() {
+    let mut harness = Harness::new(Settings { max_open: 12, ..settings() }, 2);
+    harness.warm_up(1, 20, 10.0);
+    // Destination 0 fails until its breaker opens.
+    let requests: Vec<_> = (0..6).map(|_| harness.request(SAFE, 0)).collect();
+    harness.handle(&requests.iter().map(|x| x.1.clone()).collect::<Vec<_>>());
+    harness.now += 10.0;
+    harness.handle(&requests.iter().map(|x| ended(x.0, 0, Outcome::Broken, 10.0)).collect::<Vec<_>>());
     for _ in 0..5 {
-        rig.ask(SAFE, 0);
+        harness.submit(SAFE, 0);
     }
-    let (id, sent) = rig.ask(SAFE, 1);
-    assert!(sent && !rig.refused(id), "the healthy one goes straight out");
-    assert!(rig.last.iter().any(|a| matches!(a, Action::Refuse { .. })) && rig.logged("hold full"));
+    let (id, sent) = harness.submit(SAFE, 1);
+    assert!(sent && !harness.refused(id), "a message for the healthy destination was queued or refused");
+    assert!(
+        harness.last_actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+            && harness.logged("hold full")
+    );
 }
 
-/// iea7983: hung destinations at their ceilings held every slot.
+/// Guards against destinations that do not answer and, each within its ceiling, together hold all slots
+/// (found in iea7983).
 #[test]
-fn an_overrun_call_is_called_off_for_a_queue_that_can_send() {
-    let mut rig = Rig::new(Settings { slots: 4, ..settings() }, 4);
-    (0..4).for_each(|d| rig.warm_up(d, 10, 10.0));
-    let hung: Vec<_> = [0, 0, 1, 1].iter().map(|d| rig.request(SAFE, *d)).collect();
-    assert_eq!(rig.give(&hung.iter().map(|x| x.1.clone()).collect::<Vec<_>>()).len(), 4);
-    let (waiting, sent) = rig.ask(SAFE, 2);
+fn an_overdue_call_is_cancelled_for_a_queue_that_can_send() {
+    let mut harness = Harness::new(Settings { slots: 4, ..settings() }, 4);
+    (0..4).for_each(|d| harness.warm_up(d, 10, 10.0));
+    let overdue: Vec<_> = [0, 0, 1, 1].iter().map(|d| harness.request(SAFE, *d)).collect();
+    assert_eq!(harness.handle(&overdue.iter().map(|x| x.1.clone()).collect::<Vec<_>>()).len(), 4);
+    let (waiting, sent) = harness.submit(SAFE, 2);
     assert!(!sent);
-    rig.wait(200.0);
-    let off: Vec<_> = hung.iter().filter(|x| rig.cancelled(x.0)).collect();
-    assert_eq!(off.len(), 1, "one call, the longest overrun, is called off");
-    let sent = rig.end(off[0].0, 0, Outcome::Cancelled, 200.0);
+    harness.advance(200.0);
+    let cancelled: Vec<_> = overdue.iter().filter(|x| harness.cancelled(x.0)).collect();
+    assert_eq!(cancelled.len(), 1, "not exactly one call, the longest overdue, was cancelled");
+    let sent = harness.end_attempt(cancelled[0].0, 0, Outcome::Cancelled, 200.0);
     assert!(sent.iter().any(|s| s.0 == waiting));
 }
 
-/// Vanish day: calls called off taught nothing, and silent destinations were never shut.
+/// Guards against destinations without answers whose breaker never opens, because cancelled calls do not
+/// count as failures.
 #[test]
-fn calls_without_answers_shut_a_destination_and_late_answers_open_it() {
-    let mut rig = Rig::new(settings(), 1);
-    rig.warm_up(0, 20, 10.0);
-    rig.now += 1.0;
-    let asked: Vec<_> = (0..2).map(|_| rig.request(SAFE, 0)).collect();
-    rig.give(&asked.iter().map(|x| x.1.clone()).collect::<Vec<_>>());
-    rig.wait(100.0);
-    assert!(rig.logged("no answers"));
-    assert!(!rig.ask(SAFE, 0).1, "held while it is out");
-    // Late answers with no failure seen: it was slow, not gone, and there is no ramp.
-    let sent = rig.end(asked[0].0, 0, Outcome::Delivered, 110.0);
-    assert_eq!(sent.len(), 1, "open again at once");
-    assert!(!rig.logged("ramping"));
+fn missing_answers_open_the_breaker_and_late_answers_close_it() {
+    let mut harness = Harness::new(settings(), 1);
+    harness.warm_up(0, 20, 10.0);
+    harness.now += 1.0;
+    let requests: Vec<_> = (0..2).map(|_| harness.request(SAFE, 0)).collect();
+    harness.handle(&requests.iter().map(|x| x.1.clone()).collect::<Vec<_>>());
+    harness.advance(100.0);
+    assert!(harness.logged("no answers"));
+    assert!(!harness.submit(SAFE, 0).1, "sent while the breaker is open");
+    // Late answers without a failure: the destination was slow and not down, so there is no slow start.
+    let sent = harness.end_attempt(requests[0].0, 0, Outcome::Delivered, 110.0);
+    assert_eq!(sent.len(), 1, "the breaker did not close at once");
+    assert!(!harness.logged("ramping"));
 }
 
-/// i50d7bd: a call whose answer is lost held its slot though the destination answered others. Where connections
-/// fall silent all day, such calls filled the slots (pieces+silent+leave 822939304235).
+/// Guards against a call with a lost answer that keeps its slot because the destination answers other calls.
+/// Where connections stop answering again and again, such calls fill all slots (found in i50d7bd and in
+/// pieces+silent+leave 822939304235).
 #[test]
-fn a_call_beyond_its_latency_is_called_off_though_its_lane_delivers() {
-    let mut rig = Rig::new(Settings { slots: 8, ..settings() }, 3);
-    (0..3).for_each(|d| rig.warm_up(d, 20, 10.0));
-    let (lost, _) = rig.ask(SAFE, 0);
-    rig.warm_up(0, 1, 10.0);
-    let others: Vec<_> = [1, 1, 1, 1, 2, 2, 2].iter().map(|d| rig.request(SAFE, *d).1).collect();
-    assert_eq!(rig.give(&others).len(), 7);
-    let (_, sent) = rig.ask(SAFE, 0);
-    assert!(!sent && !rig.cancelled(lost), "within its latency it stays");
-    rig.wait(12.0);
-    assert!(rig.cancelled(lost), "twice its usual time is over, and a queue waits for the slot");
+fn a_call_beyond_its_latency_is_cancelled_although_its_group_delivers() {
+    let mut harness = Harness::new(Settings { slots: 8, ..settings() }, 3);
+    (0..3).for_each(|d| harness.warm_up(d, 20, 10.0));
+    let (lost, _) = harness.submit(SAFE, 0);
+    harness.warm_up(0, 1, 10.0);
+    let others: Vec<_> = [1, 1, 1, 1, 2, 2, 2].iter().map(|d| harness.request(SAFE, *d).1).collect();
+    assert_eq!(harness.handle(&others).len(), 7);
+    let (_, sent) = harness.submit(SAFE, 0);
+    assert!(
+        !sent && !harness.cancelled(lost),
+        "sent without a free slot, or cancelled within its usual latency"
+    );
+    harness.advance(12.0);
+    assert!(
+        harness.cancelled(lost),
+        "not cancelled after twice its usual latency although a queue waits for the slot"
+    );
 }
 
-/// i2016d6: one lost answer in the ramp shut the lane again and again.
+/// Guards against a breaker that opens again at every single lost answer during slow start (found in
+/// i2016d6).
 #[test]
-fn one_failure_in_the_ramp_does_not_shut_the_lane_again() {
-    let mut rig = Rig::new(settings(), 1);
-    rig.warm_up(0, 100, 50.0);
-    let asked: Vec<_> = (0..6).map(|_| rig.request(SAFE, 0)).collect();
-    rig.give(&asked.iter().map(|x| x.1.clone()).collect::<Vec<_>>());
-    rig.now += 10.0;
-    rig.give(&asked.iter().map(|x| ended(x.0, 0, Outcome::Broken, 10.0)).collect::<Vec<_>>());
+fn one_failure_during_slow_start_does_not_open_the_breaker_again() {
+    let mut harness = Harness::new(settings(), 1);
+    harness.warm_up(0, 100, 50.0);
+    let requests: Vec<_> = (0..6).map(|_| harness.request(SAFE, 0)).collect();
+    harness.handle(&requests.iter().map(|x| x.1.clone()).collect::<Vec<_>>());
+    harness.now += 10.0;
+    harness.handle(&requests.iter().map(|x| ended(x.0, 0, Outcome::Broken, 10.0)).collect::<Vec<_>>());
     let mut attempts = std::collections::BTreeMap::new();
     let (mut delivered, mut failed) = (0, false);
     for _ in 0..2000 {
-        let mut out = rig.wait(5.0);
-        while let Some((id, _)) = out.pop() {
-            let n = attempts.entry(id).or_insert(0u32);
-            *n += 1;
+        let mut in_flight = harness.advance(5.0);
+        while let Some((id, _)) = in_flight.pop() {
+            let attempt = attempts.entry(id).or_insert(0u32);
+            *attempt += 1;
             let outcome = if delivered == 3 && !failed { Outcome::Broken } else { Outcome::Delivered };
             failed |= outcome == Outcome::Broken;
             delivered += u32::from(outcome == Outcome::Delivered);
-            out.extend(rig.end(id, *n, outcome, 5.0));
-            assert!(!failed || !rig.logged("out"));
+            in_flight.extend(harness.end_attempt(id, *attempt, outcome, 5.0));
+            assert!(!failed || !harness.logged("out"));
         }
     }
     assert!(failed && delivered >= 6);
 }
 
-/// i270c2d: the trials of many relays used up the limit that they waited for.
+/// Guards against half-open trials that use up the limit whose return they wait for, because many relays send
+/// them (found in i270c2d).
 #[test]
-fn trials_are_rarer_where_relays_are_many() {
+fn half_open_trials_are_rarer_where_many_relays_share_a_destination() {
     let trials = |relays: usize| {
-        let mut rig = Rig::new(Settings { relays, max_attempts: 99, ..settings() }, 1);
-        let asked: Vec<_> = (0..6).map(|_| rig.request(SAFE, 0)).collect();
-        rig.give(&asked.iter().map(|x| x.1.clone()).collect::<Vec<_>>());
-        rig.now += 1.0;
-        rig.give(&asked.iter().map(|x| ended(x.0, 0, Outcome::Broken, 1.0)).collect::<Vec<_>>());
-        let mut tries = std::collections::BTreeMap::new();
+        let mut harness = Harness::new(Settings { relays, max_attempts: 99, ..settings() }, 1);
+        let requests: Vec<_> = (0..6).map(|_| harness.request(SAFE, 0)).collect();
+        harness.handle(&requests.iter().map(|x| x.1.clone()).collect::<Vec<_>>());
+        harness.now += 1.0;
+        harness.handle(&requests.iter().map(|x| ended(x.0, 0, Outcome::Broken, 1.0)).collect::<Vec<_>>());
+        let mut attempts = std::collections::BTreeMap::new();
         let mut count = 0;
         for _ in 0..1900 {
-            for (id, _) in rig.wait(5.0) {
+            for (id, _) in harness.advance(5.0) {
                 count += 1;
-                let n = tries.entry(id).or_insert(0u32);
-                *n += 1;
-                rig.end(id, *n, Outcome::Broken, 1.0);
+                let attempt = attempts.entry(id).or_insert(0u32);
+                *attempt += 1;
+                harness.end_attempt(id, *attempt, Outcome::Broken, 1.0);
             }
         }
         count
     };
     let (few, many) = (trials(2), trials(20));
-    assert!(many >= 1 && few > many, "{few} and {many}");
+    assert!(many >= 1 && few > many, "{few} trials with 2 relays and {many} with 20");
 }
 
-/// if97bcb: slow destinations took most of the slots, a turn each.
+/// Guards against slow destinations that take most of the slot time because each queue gets the same number
+/// of turns (found in if97bcb).
 #[test]
 fn a_turn_costs_its_slot_time_while_slots_are_short() {
-    let mut rig = Rig::new(Settings { slots: 1, ..settings() }, 2);
-    rig.warm_up(0, 10, 300.0);
-    rig.warm_up(1, 10, 30.0);
-    let (first, _) = rig.ask(SAFE, 1);
+    let mut harness = Harness::new(Settings { slots: 1, ..settings() }, 2);
+    harness.warm_up(0, 10, 300.0);
+    harness.warm_up(1, 10, 30.0);
+    let (first_id, _) = harness.submit(SAFE, 1);
     for _ in 0..12 {
-        rig.ask(SAFE, 0);
-        rig.ask(SAFE, 1);
+        harness.submit(SAFE, 0);
+        harness.submit(SAFE, 1);
     }
-    let (mut id, mut slow, mut fast, mut took) = (first, 0, 0, 30.0);
+    let (mut id, mut slow, mut fast, mut took_ms) = (first_id, 0, 0, 30.0);
     for _ in 0..12 {
-        rig.now += took;
-        let sent = rig.end(id, 0, Outcome::Delivered, took);
+        harness.now += took_ms;
+        let sent = harness.end_attempt(id, 0, Outcome::Delivered, took_ms);
         let Some(next) = sent.first() else { break };
         id = next.0;
         let is_slow = next.1 == "h0";
-        took = if is_slow { 300.0 } else { 30.0 };
+        took_ms = if is_slow { 300.0 } else { 30.0 };
         slow += u32::from(is_slow);
         fast += u32::from(!is_slow);
     }
     assert!(fast > slow && slow > 0, "{fast} fast and {slow} slow turns");
 }
 
-/// Found by the tests of the rules: one refusal told a wait; the destination is used again when it ends.
+/// Guards against a further pause after a Retry-After: the destination is used again as soon as that ends.
 #[test]
-fn a_told_wait_is_followed_by_no_further_pause() {
-    let mut rig = Rig::new(settings(), 1);
-    let (id, _) = rig.ask(SAFE, 0);
-    rig.give(&[full(id, 0, 500.0)]);
-    assert!(rig.wait(495.0).is_empty());
-    assert_eq!(rig.wait(10.0).len(), 1);
+fn no_further_pause_follows_a_retry_after() {
+    let mut harness = Harness::new(settings(), 1);
+    let (id, _) = harness.submit(SAFE, 0);
+    harness.handle(&[ended_full(id, 0, 500.0)]);
+    assert!(harness.advance(495.0).is_empty());
+    assert_eq!(harness.advance(10.0).len(), 1);
 }
 
-/// tunis-main-later rough-1: endpoints with few connections refused new ones while idle ones filled their table.
+/// Guards against idle connections that fill the connection table of an endpoint, which then refuses new ones
+/// (found in tunis-main-later rough-1).
 #[test]
 fn idle_connections_are_closed_once_connections_were_refused() {
     let close = Action::CloseIdle { endpoint: "h0".into() };
-    let mut rig = Rig::new(settings(), 1);
-    rig.warm_up(0, 3, 10.0);
-    assert!(!rig.last.contains(&close), "connections that nobody lacks are kept");
-    let (id, _) = rig.ask(SAFE, 0);
-    rig.end(id, 0, Outcome::NoConnection, 5.0);
-    rig.end(id, 1, Outcome::Delivered, 10.0);
-    rig.now += 20000.0;
-    let (id, sent) = rig.ask(SAFE, 0);
+    let mut harness = Harness::new(settings(), 1);
+    harness.warm_up(0, 3, 10.0);
+    assert!(!harness.last_actions.contains(&close), "idle connections were closed although none was refused");
+    let (id, _) = harness.submit(SAFE, 0);
+    harness.end_attempt(id, 0, Outcome::NoConnection, 5.0);
+    harness.end_attempt(id, 1, Outcome::Delivered, 10.0);
+    harness.now += 20000.0;
+    let (id, sent) = harness.submit(SAFE, 0);
     assert!(sent);
-    rig.end(id, 0, Outcome::Delivered, 10.0);
-    assert!(rig.last.contains(&close));
+    harness.end_attempt(id, 0, Outcome::Delivered, 10.0);
+    assert!(harness.last_actions.contains(&close));
 }
 
-fn crowd() -> Settings {
+fn settings_with_100_relays() -> Settings {
     Settings { relays: 100, ..settings() }
 }
 
-/// mazowsze-wysylka-later big-1: hundreds of relays came back at the end of each short wait that was told.
+/// Guards against hundreds of relays that all call at the end of each short Retry-After (found in
+/// mazowsze-wysylka-later big-1).
 #[test]
-fn a_told_wait_after_a_second_refusal_gives_no_token() {
-    let mut rig = Rig::new(crowd(), 1);
-    let (id, _) = rig.ask(SAFE, 0);
-    rig.give(&[full(id, 0, 600.0)]);
-    assert_eq!(rig.wait(601.0).len(), 1);
-    rig.give(&[full(id, 1, 600.0)]);
-    let sent: usize = (0..20).map(|_| rig.wait(100.0).len()).sum();
-    assert_eq!(sent, 0, "two seconds after the second refusal");
+fn a_retry_after_with_a_second_refusal_gives_no_token() {
+    let mut harness = Harness::new(settings_with_100_relays(), 1);
+    let (id, _) = harness.submit(SAFE, 0);
+    harness.handle(&[ended_full(id, 0, 600.0)]);
+    assert_eq!(harness.advance(601.0).len(), 1);
+    harness.handle(&[ended_full(id, 1, 600.0)]);
+    let sent: usize = (0..20).map(|_| harness.advance(100.0).len()).sum();
+    assert_eq!(sent, 0, "sent within two seconds after the second refusal");
 }
 
-/// i1af5ac, i02738d, iff22c8: five failures in a row hardly come together where a relay calls seldom.
+/// Guards against a breaker that needs five failures in a row: where a relay calls a destination seldom these
+/// hardly come together (found in i1af5ac, i02738d and iff22c8).
 #[test]
-fn two_failures_in_a_row_slow_a_lane_with_few_calls() {
-    let mut rig = Rig::new(crowd(), 1);
-    let (id, _) = rig.ask(SAFE, 0);
-    rig.end(id, 0, Outcome::Broken, 10.0);
-    let again: usize = (0..10).map(|_| rig.wait(20.0).len()).sum();
-    assert_eq!(again, 1, "one failure is tried again soon");
-    rig.end(id, 1, Outcome::Broken, 10.0);
-    let again: usize = (0..10).map(|_| rig.wait(20.0).len()).sum();
-    assert_eq!(again, 0);
+fn two_failures_in_a_row_slow_down_a_group_with_few_calls() {
+    let mut harness = Harness::new(settings_with_100_relays(), 1);
+    let (id, _) = harness.submit(SAFE, 0);
+    harness.end_attempt(id, 0, Outcome::Broken, 10.0);
+    let retries: usize = (0..10).map(|_| harness.advance(20.0).len()).sum();
+    assert_eq!(retries, 1, "not sent again soon after one failure");
+    harness.end_attempt(id, 1, Outcome::Broken, 10.0);
+    let retries: usize = (0..10).map(|_| harness.advance(20.0).len()).sum();
+    assert_eq!(retries, 0);
 }
 
-/// sousa-estudios-later overload: one call a span from each of many relays pushed over what returned.
+/// Guards against overload of a recovering destination by one call per span from each of many relays (found
+/// in sousa-estudios-later overload).
 #[test]
-fn the_ramp_of_one_of_many_relays_is_less_than_a_call_a_span() {
-    let mut rig = Rig::new(crowd(), 1);
-    let asked: Vec<_> = (0..5).map(|_| rig.request(SAFE, 0)).collect();
-    rig.give(&asked.iter().map(|x| x.1.clone()).collect::<Vec<_>>());
-    rig.now += 10.0;
-    rig.give(&asked.iter().map(|x| ended(x.0, 0, Outcome::Broken, 10.0)).collect::<Vec<_>>());
-    assert!(rig.logged("out"));
-    let trial = (0..600).find_map(|_| rig.wait(10.0).first().cloned()).expect("a trial");
-    // Errors were frequent: it takes two trials, the second at once.
-    let second = rig.end(trial.0, 1, Outcome::Delivered, 10.0);
-    rig.end(second[0].0, 1, Outcome::Delivered, 10.0);
-    assert!(rig.logged("ramping"));
-    let sent: usize = (0..30).map(|_| rig.wait(100.0).len()).sum();
-    assert_eq!(sent, 0, "within one and a half spans of the rule");
+fn slow_start_of_one_of_many_relays_sends_less_than_one_call_per_span() {
+    let mut harness = Harness::new(settings_with_100_relays(), 1);
+    let requests: Vec<_> = (0..5).map(|_| harness.request(SAFE, 0)).collect();
+    harness.handle(&requests.iter().map(|x| x.1.clone()).collect::<Vec<_>>());
+    harness.now += 10.0;
+    harness.handle(&requests.iter().map(|x| ended(x.0, 0, Outcome::Broken, 10.0)).collect::<Vec<_>>());
+    assert!(harness.logged("out"));
+    let trial =
+        (0..600).find_map(|_| harness.advance(10.0).first().cloned()).expect("no half-open trial was sent");
+    // After frequent errors recovery takes two trials; the second goes at once.
+    let second = harness.end_attempt(trial.0, 1, Outcome::Delivered, 10.0);
+    harness.end_attempt(second[0].0, 1, Outcome::Delivered, 10.0);
+    assert!(harness.logged("ramping"));
+    let sent: usize = (0..30).map(|_| harness.advance(100.0).len()).sum();
+    assert_eq!(sent, 0, "sent within one and a half spans of the slow-start rule");
 }
 
-/// Tap of the later days: requests for destinations that a relay had never called were refused at once.
+/// Guards against a full queue that refuses requests for destinations that the relay has never called at once
+/// (found in the simulation "tap").
 #[test]
-fn a_full_hold_keeps_what_is_for_a_destination_never_called() {
-    let mut rig = Rig::new(Settings { slots: 1, max_open: 12, ..settings() }, 3);
-    rig.warm_up(0, 20, 300.0);
-    let (_, sent) = rig.ask(SAFE, 2);
-    assert!(sent, "the only slot is taken");
+fn a_full_queue_keeps_requests_for_a_destination_never_called() {
+    let mut harness = Harness::new(Settings { slots: 1, max_open: 12, ..settings() }, 3);
+    harness.warm_up(0, 20, 300.0);
+    let (_, sent) = harness.submit(SAFE, 2);
+    assert!(sent, "the only slot was not free for the first request");
     for _ in 0..9 {
-        rig.ask(SAFE, 0);
+        harness.submit(SAFE, 0);
     }
-    let (id, sent) = rig.ask(SAFE, 1);
-    assert!(!sent && !rig.refused(id));
-    rig.ask(SAFE, 0);
-    assert!(!rig.refused(id) && rig.last.iter().any(|a| matches!(a, Action::Refuse { .. })));
+    let (id, sent) = harness.submit(SAFE, 1);
+    assert!(!sent && !harness.refused(id));
+    harness.submit(SAFE, 0);
+    assert!(!harness.refused(id) && harness.last_actions.iter().any(|a| matches!(a, Action::Refuse { .. })));
 }
 
-/// Endpoints are indexed by destination: the index follows the list, also at the size of a large fleet.
+/// Guards against an index of endpoints by destination that does not follow the list, also for a large fleet.
 #[test]
 fn the_index_of_endpoints_follows_the_list() {
     let list = (0..790).map(|n| endpoint(&format!("h{n}"), n / 2)).collect();
-    let mut rig = Rig::listed(settings(), list);
+    let mut harness = Harness::with_list(settings(), list);
     let moved = Endpoint { destination: 5, ..endpoint("h0", 0) };
-    let gone = |name: &str, d: u64| Endpoint { status: EndpointStatus::Removed, ..endpoint(name, d) };
-    let changes = vec![moved, gone("h10", 5), gone("h11", 5)];
-    rig.give(&[Event::ListUpdate(ListUpdate::Delta(changes))]);
-    for (dest, name) in [(0, "h1"), (5, "h0")] {
-        let (id, event) = rig.request(SAFE, dest);
-        assert_eq!(rig.give(&[event]), [(id, name.to_string())]);
+    let removed = |name: &str, d: u64| Endpoint { status: EndpointStatus::Removed, ..endpoint(name, d) };
+    let changes = vec![moved, removed("h10", 5), removed("h11", 5)];
+    harness.handle(&[Event::ListUpdate(ListUpdate::Delta(changes))]);
+    for (destination, name) in [(0, "h1"), (5, "h0")] {
+        let (id, event) = harness.request(SAFE, destination);
+        assert_eq!(harness.handle(&[event]), [(id, name.to_string())]);
     }
-    rig.give(&[Event::ListUpdate(ListUpdate::Full(vec![endpoint("h7", 3)]))]);
-    assert!(!rig.ask(SAFE, 5).1 && rig.ask(SAFE, 3).1, "what a whole list leaves out is gone");
+    harness.handle(&[Event::ListUpdate(ListUpdate::Full(vec![endpoint("h7", 3)]))]);
+    assert!(
+        !harness.submit(SAFE, 5).1 && harness.submit(SAFE, 3).1,
+        "an endpoint that is missing in a full list still gets calls, or a listed one does not"
+    );
 }
 
-/// churn+long 4240: a trial was spent on a request with 3 ms left, and its time-out put the next one off by 2 s.
+/// Guards against a half-open trial with a request that expires before the answer: one with 3 ms left timed
+/// out, which delayed the next trial by 2 s (found in churn+long 4240).
 #[test]
-fn a_trial_needs_the_time_for_an_answer() {
-    let mut rig = Rig::new(settings(), 1);
-    rig.warm_up(0, 20, 100.0);
-    let asked: Vec<_> = (0..6).map(|_| rig.request(SAFE, 0)).collect();
-    rig.give(&asked.iter().map(|x| x.1.clone()).collect::<Vec<_>>());
-    rig.now += 10.0;
-    rig.give(&asked.iter().map(|x| ended(x.0, 0, Outcome::Broken, 10.0)).collect::<Vec<_>>());
-    assert!(rig.logged("out"));
-    assert!(rig.wait(9930.0).is_empty(), "60 ms are left, and an answer takes 100");
-    assert!(rig.ask(SAFE, 0).1, "what comes now is the trial");
+fn a_half_open_trial_needs_a_request_with_time_for_an_answer() {
+    let mut harness = Harness::new(settings(), 1);
+    harness.warm_up(0, 20, 100.0);
+    let requests: Vec<_> = (0..6).map(|_| harness.request(SAFE, 0)).collect();
+    harness.handle(&requests.iter().map(|x| x.1.clone()).collect::<Vec<_>>());
+    harness.now += 10.0;
+    harness.handle(&requests.iter().map(|x| ended(x.0, 0, Outcome::Broken, 10.0)).collect::<Vec<_>>());
+    assert!(harness.logged("out"));
+    assert!(
+        harness.advance(9930.0).is_empty(),
+        "a trial was sent with 60 ms left, while an answer takes 100 ms"
+    );
+    assert!(harness.submit(SAFE, 0).1, "a new request was not sent as the trial");
 }
 
-/// churn+long 4240: calls sent before most failed came in late, two of them were taken for a return, and what was
-/// sent on it failed.
+/// Guards against late answers that are taken for a recovery: calls sent before the failures are delivered
+/// late, and what is sent on that evidence fails (found in churn+long 4240).
 #[test]
-fn what_was_sent_before_the_errors_proves_no_return() {
-    let mut rig = Rig::new(Settings { slots: 16, ..settings() }, 1);
-    rig.warm_up(0, 100, 50.0);
-    let asked: Vec<_> = (0..9).map(|_| rig.request(SAFE, 0)).collect();
-    assert_eq!(rig.give(&asked.iter().map(|x| x.1.clone()).collect::<Vec<_>>()).len(), 9);
-    rig.now += 1.0;
-    rig.give(&asked[..6].iter().map(|x| ended(x.0, 0, Outcome::Error, 1.0)).collect::<Vec<_>>());
-    assert!(rig.logged("out"));
-    for (id, _) in &asked[6..] {
-        rig.end(*id, 0, Outcome::Delivered, 20.0);
-        assert!(!rig.logged("ramping"));
+fn deliveries_of_calls_sent_before_the_failures_prove_no_recovery() {
+    let mut harness = Harness::new(Settings { slots: 16, ..settings() }, 1);
+    harness.warm_up(0, 100, 50.0);
+    let requests: Vec<_> = (0..9).map(|_| harness.request(SAFE, 0)).collect();
+    assert_eq!(harness.handle(&requests.iter().map(|x| x.1.clone()).collect::<Vec<_>>()).len(), 9);
+    harness.now += 1.0;
+    harness.handle(&requests[..6].iter().map(|x| ended(x.0, 0, Outcome::Error, 1.0)).collect::<Vec<_>>());
+    assert!(harness.logged("out"));
+    for (id, _) in &requests[6..] {
+        harness.end_attempt(*id, 0, Outcome::Delivered, 20.0);
+        assert!(!harness.logged("ramping"));
     }
 }
--- a/crates/linenhall/tests/restored_untried.rs
+++ b/crates/linenhall/tests/restored_untried.rs
@@ -1,4 +1,5 @@
-//! What an earlier process had taken on and never tried is tried still, ahead of what came later.
+//! Messages restored from an earlier process: those that it accepted but never tried are sent before newer
+//! ones.
 mod common;
 use common::*;
 use linenhall::*;
@@ -24,63 +25,65 @@
     }
 }
 
-/// A destination with a long hold sends what loses most by waiting; what is old has little to lose and would stay until its
-/// time is over.
+/// Guards against untried messages that expire in the queue after a restart. A destination with a long queue
+/// sends the messages that lose most value by waiting, and an old message has little value left to lose.
 #[test]
-fn what_a_restart_finds_untried_goes_while_it_has_time() {
-    let tried = tried_of_five(true);
-    assert_eq!(tried.len(), 5, "sent until their time was over: {tried:?}");
+fn untried_messages_are_sent_before_their_deadline_after_a_restart() {
+    let sent = restored_messages_sent(true);
+    assert_eq!(sent.len(), 5, "not all untried messages were sent before their deadline: {sent:?}");
 }
 
-/// What is taken over from a process that lives has waited there among all others, and goes on so: after an upgrade under
-/// load nothing else would go for as long as the hold lasts.
+/// Messages taken over from a running process have waited there in turn and go on waiting. With priority they
+/// would block all newer messages after an upgrade under load until the old queue is empty.
 #[test]
-fn what_is_taken_over_from_a_process_that_lives_waits_for_its_turn() {
-    let tried = tried_of_five(false);
-    assert!(tried.is_empty(), "ahead of what loses more by waiting: {tried:?}");
+fn messages_taken_over_from_a_running_process_get_no_priority() {
+    let sent = restored_messages_sent(false);
+    assert!(sent.is_empty(), "sent before messages that lose more value by waiting: {sent:?}");
 }
 
-/// Those that were sent of five old ones, due soon, amid two hundred new ones.
-fn tried_of_five(untried: bool) -> Vec<u64> {
-    let mut rig = Rig::new(Settings { slots: 1, max_open: 1000, ..settings() }, 1);
-    rig.warm_up(0, 5, 100.0);
-    let start = rig.now;
-    let (first, _) = rig.ask(SAFE, 0);
-    let found: Vec<Event> = (0..5).map(|n| restored(9000 + n, 0, start + 1500.0, untried)).collect();
-    rig.give(&found);
-    let fresh: Vec<Event> = (0..200).map(|_| rig.request(SAFE, 0).1).collect();
-    rig.give(&fresh);
-    let (mut out, mut tried) = (first, Vec::new());
-    while rig.now < start + 1500.0 {
-        rig.now += 100.0;
-        let sent = rig.end(out, 0, Outcome::Delivered, 100.0);
-        let Some((id, _)) = sent.first() else { panic!("something is held") };
-        (out, tried) = (*id, [&tried[..], &[*id]].concat());
+/// Restores five messages that are due soon, adds 200 new ones, and returns which of the five are sent in
+/// time.
+fn restored_messages_sent(untried: bool) -> Vec<u64> {
+    let mut harness = Harness::new(Settings { slots: 1, max_open: 1000, ..settings() }, 1);
+    harness.warm_up(0, 5, 100.0);
+    let start = harness.now;
+    let (first_id, _) = harness.submit(SAFE, 0);
+    let restored_events: Vec<Event> =
+        (0..5).map(|n| restored(9000 + n, 0, start + 1500.0, untried)).collect();
+    harness.handle(&restored_events);
+    let new_requests: Vec<Event> = (0..200).map(|_| harness.request(SAFE, 0).1).collect();
+    harness.handle(&new_requests);
+    let (mut in_flight, mut sent_ids) = (first_id, Vec::new());
+    while harness.now < start + 1500.0 {
+        harness.now += 100.0;
+        let sent = harness.end_attempt(in_flight, 0, Outcome::Delivered, 100.0);
+        let Some((id, _)) = sent.first() else { panic!("nothing was sent although messages are queued") };
+        (in_flight, sent_ids) = (*id, [&sent_ids[..], &[*id]].concat());
     }
-    tried.retain(|id| *id >= 9000);
-    tried
+    sent_ids.retain(|id| *id >= 9000);
+    sent_ids
 }
 
-/// What is held for a destination that can't be sent to earns least, and makes room for others; not what was taken on by an
-/// earlier process and has not been tried.
+/// When the queue is full, messages for a destination without usable endpoints have the least value and are
+/// refused first. Messages that an earlier process accepted and never tried are exempt.
 #[test]
-fn what_a_restart_finds_untried_makes_no_room_for_others() {
-    let mut rig = Rig::new(Settings { slots: 1, max_open: 10, ..settings() }, 2);
-    rig.give(&[Event::ListUpdate(ListUpdate::Delta(vec![Endpoint {
+fn untried_messages_are_not_shed_from_a_full_queue() {
+    let mut harness = Harness::new(Settings { slots: 1, max_open: 10, ..settings() }, 2);
+    harness.handle(&[Event::ListUpdate(ListUpdate::Delta(vec![Endpoint {
         status: EndpointStatus::Draining,
         ..endpoint("h0", 0)
     }]))]);
-    let due = rig.now + 8000.0;
-    rig.give(&(0..6).map(|n| untried(9000 + n, 0, due)).collect::<Vec<_>>());
+    let due = harness.now + 8000.0;
+    harness.handle(&(0..6).map(|n| untried(9000 + n, 0, due)).collect::<Vec<_>>());
     let mut refused = Vec::new();
     for _ in 0..30 {
-        let (_, event) = rig.request(SAFE, 1);
-        rig.give(&[event]);
-        refused.extend(rig.last.iter().filter_map(|a| match a {
+        let (_, event) = harness.request(SAFE, 1);
+        harness.handle(&[event]);
+        refused.extend(harness.last_actions.iter().filter_map(|a| match a {
             Action::Refuse { id, .. } => Some(*id),
             _ => None,
         }));
     }
-    assert!(refused.len() >= 20, "the hold is full: {refused:?}");
-    assert!(refused.iter().all(|id| *id < 9000), "{refused:?}");
+    assert!(refused.len() >= 20, "too few requests were refused although the queue is full: {refused:?}");
+    assert!(refused.iter().all(|id| *id < 9000), "an untried message was refused: {refused:?}");
 }
--- a/crates/linenhall/tests/scale.rs
+++ b/crates/linenhall/tests/scale.rs
@@ -1,5 +1,5 @@
-//! Large sizes: what an event costs, counted in steps and not by the clock, and the cases in which very much
-//! waits, ends, goes or returns at one moment.
+//! Large sizes: the cost of an event, counted in steps and not by the clock, and situations in which very
+//! many messages, hosts or destinations wait, expire, change or recover at the same moment.
 mod common;
 #[path = "common/loaded.rs"]
 mod loaded;
@@ -9,258 +9,294 @@
 use loaded::Loaded;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Steps of each of so many messages handed in and delivered: the mean and the most.
-fn steps_of(relay: &mut Loaded, messages: u64) -> (u64, u64) {
+/// Returns the mean and the maximum number of steps per message, each submitted and delivered.
+fn mean_and_max_steps(relay: &mut Loaded, messages: u64) -> (u64, u64) {
     let start = steps();
-    let most = (0..messages).map(|_| {
+    let max_steps = (0..messages).map(|_| {
         let before = steps();
         relay.step();
         steps() - before
     });
-    let most = most.max().unwrap_or(0);
-    ((steps() - start) / messages, most)
+    let max_steps = max_steps.max().unwrap_or(0);
+    ((steps() - start) / messages, max_steps)
 }
 
+/// Guards against work for each event that grows with the number of queued messages.
 #[test]
-fn an_event_takes_as_many_steps_with_100_000_held_as_with_100() {
+fn an_event_takes_about_as_many_steps_with_100_000_queued_as_with_100() {
     const { assert!(cfg!(debug_assertions), "steps are counted in builds with debug assertions") };
-    let (small, small_most) = steps_of(&mut Loaded::new(100, 100, 200), 500);
-    for (dests, held, slots) in [(100, 10_000, 200), (100, 100_000, 200), (10_000, 100_000, 5000)] {
-        let (mean, most) = steps_of(&mut Loaded::new(dests, held, slots), 500);
-        println!("{dests} destinations, {held} held, {slots} slots: {mean} steps a message, {most} at most; {small}, {small_most}");
-        // The logarithm of 100,000 is two and a half times that of 100; among equal credits up to four
-        // destinations are looked at.
-        // With 100 held there is less to look at since an emptied queue costs no turn, with 100,000 as much as before.
-        assert!(4 * mean <= 13 * small, "{dests}/{held}/{slots}: {mean} steps, {small} with 100 held");
+    let (small, small_max) = mean_and_max_steps(&mut Loaded::new(100, 100, 200), 500);
+    for (destinations, queued, slots) in [(100, 10_000, 200), (100, 100_000, 200), (10_000, 100_000, 5000)] {
+        let (mean, max_steps) = mean_and_max_steps(&mut Loaded::new(destinations, queued, slots), 500);
+        println!("{destinations} destinations, {queued} queued, {slots} slots: {mean} steps a message, {max_steps} at most; {small}, {small_max} with 100 queued");
+        // The logarithm of 100,000 is two and a half times that of 100, and up to four destinations with
+        // equal credit are examined. With 100 messages there are fewer queues to examine, as an emptied queue
+        // costs no turn.
         assert!(
-            most <= 5 * small_most,
-            "{dests}/{held}/{slots}: {most} steps at most, {small_most} with 100 held"
+            4 * mean <= 13 * small,
+            "{destinations}/{queued}/{slots}: {mean} steps, {small} with 100 queued"
+        );
+        assert!(
+            max_steps <= 5 * small_max,
+            "{destinations}/{queued}/{slots}: {max_steps} steps at most, {small_max} with 100 queued"
         );
     }
 }
 
-/// With the hold full each message taken turns another away; that must be no walk either.
+/// Guards against a walk over the whole queue for each message that a full queue sheds.
 #[test]
-fn a_full_hold_costs_no_walk() {
-    let full = |dests: u64, held: usize| {
-        let s = Settings { max_open: held, slots: 8, retry_after: true, ..settings() };
-        let mut rig = Rig::new(s, dests);
-        for n in 0..held as u64 + 50 {
-            rig.ask(SAFE, n % dests);
+fn shedding_from_a_full_queue_takes_no_walk_over_it() {
+    let steps_per_refusal = |destinations: u64, queued: usize| {
+        let settings = Settings { max_open: queued, slots: 8, retry_after: true, ..settings() };
+        let mut harness = Harness::new(settings, destinations);
+        for n in 0..queued as u64 + 50 {
+            harness.submit(SAFE, n % destinations);
         }
         let before = steps();
         let refused = (0..100).filter(|n| {
-            rig.ask(SAFE, n % dests);
-            rig.last.iter().any(|a| matches!(a, Action::Refuse { .. }))
+            harness.submit(SAFE, n % destinations);
+            harness.last_actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
         });
         assert_eq!(refused.count(), 100);
         (steps() - before) / 100
     };
-    let (small, large) = (full(20, 200), full(2000, 20_000));
-    println!("{small} steps a message with a hold of 200 full, {large} with one of 20,000");
-    assert!(large <= 3 * small, "{large} steps, {small} with a hold of 200");
+    let (small, large) = (steps_per_refusal(20, 200), steps_per_refusal(2000, 20_000));
+    println!("{small} steps a message with a full queue of 200, {large} with one of 20,000");
+    assert!(large <= 3 * small, "{large} steps with a full queue of 20,000, {small} with one of 200");
 }
 
-/// Whom the bounded search turns away earns about as little as the one that a full search would find.
+/// Guards against a bounded search that sheds valuable messages: what it finds must have about as little
+/// value as what a full search would find.
 #[test]
-fn a_full_hold_turns_away_what_earns_least() {
-    let mut cheap = class(Effect::Safe);
-    cheap.value = 0.01;
-    let s = Settings { max_open: 3000, slots: 8, classes: vec![class(Effect::Safe), cheap], ..settings() };
-    let mut rig = Rig::new(s, 300);
-    let mut cheap: BTreeSet<u64> = BTreeSet::new();
+fn a_full_queue_sheds_the_messages_with_least_value() {
+    let mut cheap_class = class(Effect::Safe);
+    cheap_class.value = 0.01;
+    let settings =
+        Settings { max_open: 3000, slots: 8, classes: vec![class(Effect::Safe), cheap_class], ..settings() };
+    let mut harness = Harness::new(settings, 300);
+    let mut cheap_ids: BTreeSet<u64> = BTreeSet::new();
     for n in 0..2999u64 {
-        let (id, event) = rig.request(usize::from(n.is_multiple_of(10)), n % 300);
+        let (id, event) = harness.request(usize::from(n.is_multiple_of(10)), n % 300);
         if n.is_multiple_of(10) {
-            cheap.insert(id);
+            cheap_ids.insert(id);
         }
-        rig.give(&[event]);
+        harness.handle(&[event]);
     }
     let mut refused = 0;
     for n in 0..200 {
-        rig.ask(SAFE, n % 300);
-        for action in &rig.last {
+        harness.submit(SAFE, n % 300);
+        for action in &harness.last_actions {
             if let Action::Refuse { id, .. } = action {
-                assert!(cheap.contains(id), "{id} is worth a hundred times as much as others that are held");
+                assert!(
+                    cheap_ids.contains(id),
+                    "{id} was refused although queued messages have a hundredth of its value"
+                );
                 refused += 1;
             }
         }
     }
-    assert!(refused >= 190, "{refused}");
+    assert!(refused >= 190, "only {refused} of 200 requests caused a refusal");
 }
 
+/// Guards against a long queue behind one Retry-After that slows down or blocks the other destinations.
 #[test]
-fn one_destination_waits_with_50_000_held_while_500_others_flow() {
-    let s = Settings { max_open: 200_000, slots: 100, ..settings() };
-    let mut rig = Rig::new(s, 501);
-    (0..501).for_each(|dest| rig.warm_up(dest, 1, 10.0));
-    let (first, _) = rig.ask(SAFE, 0);
-    rig.give(&[full(first, 0, 4000.0)]);
-    let told = rig.now;
+fn a_queue_of_50_000_behind_a_retry_after_does_not_affect_500_other_destinations() {
+    let settings = Settings { max_open: 200_000, slots: 100, ..settings() };
+    let mut harness = Harness::new(settings, 501);
+    (0..501).for_each(|destination| harness.warm_up(destination, 1, 10.0));
+    let (first_id, _) = harness.submit(SAFE, 0);
+    harness.handle(&[ended_full(first_id, 0, 4000.0)]);
+    let refused_at = harness.now;
     for _ in 0..500 {
-        let events: Vec<Event> = (0..100).map(|_| rig.request(SAFE, 0).1).collect();
-        assert!(rig.give(&events).is_empty(), "nothing goes out under a told wait");
+        let events: Vec<Event> = (0..100).map(|_| harness.request(SAFE, 0).1).collect();
+        assert!(harness.handle(&events).is_empty(), "sent before the end of Retry-After");
     }
-    let mut most = 0;
+    let mut max_steps = 0;
     for n in 0..2000u64 {
         let before = steps();
-        let dest = 1 + n % 500;
-        let (id, sent) = rig.ask(SAFE, dest);
-        assert!(sent, "the others flow");
-        rig.now += 1.0;
-        let sent = rig.end(id, 0, Outcome::Delivered, 1.0);
-        assert!(sent.iter().all(|x| x.1 != "h0"), "{} ms into a wait of 4000", rig.now - told);
-        most = most.max(steps() - before);
+        let destination = 1 + n % 500;
+        let (id, sent) = harness.submit(SAFE, destination);
+        assert!(sent, "a message for another destination was not sent at once");
+        harness.now += 1.0;
+        let sent = harness.end_attempt(id, 0, Outcome::Delivered, 1.0);
+        assert!(
+            sent.iter().all(|x| x.1 != "h0"),
+            "sent {} ms into a Retry-After of 4000 ms",
+            harness.now - refused_at
+        );
+        max_steps = max_steps.max(steps() - before);
     }
-    println!("{most} steps a message at most beside 50,000 held");
-    assert!(most < 1500, "{most} steps a message beside 50,000 held");
-    rig.now = told + 4001.0;
-    assert_eq!(rig.wait(0.0).iter().filter(|x| x.1 == "h0").count(), 1, "one at the end of the wait");
+    println!("{max_steps} steps a message at most beside 50,000 queued");
+    assert!(max_steps < 1500, "{max_steps} steps a message beside 50,000 queued");
+    harness.now = refused_at + 4001.0;
+    assert_eq!(
+        harness.advance(0.0).iter().filter(|x| x.1 == "h0").count(),
+        1,
+        "not exactly one message was sent at the end of Retry-After"
+    );
 }
 
+/// Guards against a timer or a walk for each of 10,000 destinations that wait for the end of a Retry-After.
 #[test]
-fn ten_thousand_gates_take_one_timer_and_no_walk() {
-    let dests = 10_000;
-    let s = Settings { max_open: 100_000, slots: 100, ..settings() };
-    let mut rig = Rig::new(s, dests + 1);
-    let mut gates: BTreeMap<u64, f64> = BTreeMap::new();
-    for dest in 0..dests {
-        let (id, sent) = rig.ask(SAFE, dest);
+fn ten_thousand_retry_afters_take_one_timer_and_no_walk() {
+    let destinations = 10_000;
+    let settings = Settings { max_open: 100_000, slots: 100, ..settings() };
+    let mut harness = Harness::new(settings, destinations + 1);
+    let mut waits_until: BTreeMap<u64, f64> = BTreeMap::new();
+    for destination in 0..destinations {
+        let (id, sent) = harness.submit(SAFE, destination);
         assert!(sent);
-        let wait = 2000.0 + ((dest * 7919) % dests) as f64 / 4.0;
-        rig.give(&[full(id, 0, wait)]);
-        gates.insert(id, rig.now + wait);
+        let wait_ms = 2000.0 + ((destination * 7919) % destinations) as f64 / 4.0;
+        harness.handle(&[ended_full(id, 0, wait_ms)]);
+        waits_until.insert(id, harness.now + wait_ms);
     }
-    // An event that concerns none of them.
+    // A message for another destination.
     let before = steps();
-    rig.warm_up(dests, 1, 1.0);
+    harness.warm_up(destinations, 1, 1.0);
     let spent = steps() - before;
-    println!("{spent} steps for a message beside 10,000 gates");
-    assert!(spent < 1000, "{spent} steps beside 10,000 gates");
-    let (mut late, mut timer, mut sent) = (0.0f64, f64::MAX, 0);
-    rig.wait(0.0);
-    while sent < dests as usize {
-        let asked =
-            rig.last.iter().filter_map(|a| if let Action::Timer { at, .. } = a { Some(*at) } else { None });
-        let asked: Vec<f64> = asked.collect();
-        assert!(asked.len() <= 1, "one timer");
-        timer = if timer <= rig.now { f64::MAX } else { timer };
-        timer = asked.into_iter().fold(timer, f64::min);
-        assert!(timer < f64::MAX, "with {sent} of {dests} sent nothing would wake the relay");
-        rig.now = timer;
+    println!("{spent} steps for a message beside 10,000 Retry-Afters");
+    assert!(spent < 1000, "{spent} steps for a message beside 10,000 Retry-Afters");
+    let (mut max_delay_ms, mut timer, mut sent) = (0.0f64, f64::MAX, 0);
+    harness.advance(0.0);
+    while sent < destinations as usize {
+        let timers = harness.last_actions.iter().filter_map(|a| {
+            if let Action::Timer { at, .. } = a {
+                Some(*at)
+            } else {
+                None
+            }
+        });
+        let timers: Vec<f64> = timers.collect();
+        assert!(timers.len() <= 1, "more than one timer was set");
+        timer = if timer <= harness.now { f64::MAX } else { timer };
+        timer = timers.into_iter().fold(timer, f64::min);
+        assert!(timer < f64::MAX, "no timer is set with {sent} of {destinations} messages sent");
+        harness.now = timer;
         let before = steps();
-        for (id, _) in rig.wait(0.0) {
-            late = late.max(rig.now - gates[&id]);
-            assert!(rig.now >= gates[&id], "a told wait is heeded");
+        for (id, _) in harness.advance(0.0) {
+            max_delay_ms = max_delay_ms.max(harness.now - waits_until[&id]);
+            assert!(harness.now >= waits_until[&id], "sent before the end of Retry-After");
             sent += 1;
             let ended = ended(id, 1, Outcome::Delivered, 0.0);
-            let more = rig.relay_only(&[ended]);
-            timer = more.into_iter().fold(timer, f64::min);
+            let timers = harness.handle_returning_timers(&[ended]);
+            timer = timers.into_iter().fold(timer, f64::min);
         }
         assert!(steps() - before < 3000);
     }
-    assert!(late < 2.0, "{late} ms after its gate opened");
+    assert!(max_delay_ms < 2.0, "sent {max_delay_ms} ms after the end of Retry-After");
 }
 
-/// All destinations go silent together and come back together.
+/// Guards against half-open trials that multiply, and against breakers that stay open, when 1000 destinations
+/// stop answering at the same moment and recover at the same moment.
 #[test]
-fn a_thousand_destinations_out_and_back_at_one_moment() {
-    let dests = 1000;
-    let s = Settings { max_open: 100_000, slots: 2000, fall_ms: 3000.0, ..settings() };
-    let mut rig = Rig::new(s.clone(), dests);
-    // Ten a second to each, known for long.
+fn a_thousand_destinations_fail_and_recover_at_the_same_moment() {
+    let destinations = 1000;
+    let settings = Settings { max_open: 100_000, slots: 2000, fall_ms: 3000.0, ..settings() };
+    let mut harness = Harness::new(settings.clone(), destinations);
+    // Each destination gets ten messages per second for four seconds, so its rate and latency are known.
     for _ in 0..40 {
-        (0..dests).for_each(|dest| rig.warm_up(dest, 1, 0.1));
+        (0..destinations).for_each(|destination| harness.warm_up(destination, 1, 0.1));
     }
-    let mut flying: BTreeMap<u64, (u64, u32, f64)> = BTreeMap::new();
-    let mut tries: BTreeMap<u64, u32> = BTreeMap::new();
-    let note = |rig: &Rig,
-                sent: Vec<(u64, String)>,
-                flying: &mut BTreeMap<u64, (u64, u32, f64)>,
-                tries: &mut BTreeMap<u64, u32>| {
+    // Destination, attempt number and send time by message id.
+    let mut in_flight: BTreeMap<u64, (u64, u32, f64)> = BTreeMap::new();
+    let mut attempts: BTreeMap<u64, u32> = BTreeMap::new();
+    let record_sends = |harness: &Harness,
+                        sent: Vec<(u64, String)>,
+                        in_flight: &mut BTreeMap<u64, (u64, u32, f64)>,
+                        attempts: &mut BTreeMap<u64, u32>| {
         for (id, host) in sent {
-            let attempt = tries.entry(id).or_default();
-            let dest = host[1..].parse::<u64>().unwrap();
-            flying.insert(id, (dest, *attempt, rig.now));
+            let attempt = attempts.entry(id).or_default();
+            let destination = host[1..].parse::<u64>().unwrap();
+            in_flight.insert(id, (destination, *attempt, harness.now));
             *attempt += 1;
         }
     };
-    let (silent, back) = (rig.now, rig.now + 6000.0);
-    let mut sends: Vec<Vec<f64>> = vec![Vec::new(); dests as usize];
-    let mut most = 0;
-    while rig.now < back + 3000.0 {
-        rig.now += 50.0;
+    let (outage_start, outage_end) = (harness.now, harness.now + 6000.0);
+    let mut send_times: Vec<Vec<f64>> = vec![Vec::new(); destinations as usize];
+    let mut max_steps = 0;
+    while harness.now < outage_end + 3000.0 {
+        harness.now += 50.0;
         let before = steps();
-        let asked: Vec<Event> =
-            (0..100).map(|n| rig.request(SAFE, (n * 10 + (rig.now as u64 / 50) % 10) % dests).1).collect();
-        let sent = rig.give(&asked);
-        note(&rig, sent, &mut flying, &mut tries);
-        let over: Vec<(u64, u32, f64)> = flying
+        let requests: Vec<Event> = (0..100)
+            .map(|n| harness.request(SAFE, (n * 10 + (harness.now as u64 / 50) % 10) % destinations).1)
+            .collect();
+        let sent = harness.handle(&requests);
+        record_sends(&harness, sent, &mut in_flight, &mut attempts);
+        let ended_attempts: Vec<(u64, u32, f64)> = in_flight
             .iter()
-            .filter(|(_, f)| rig.now >= back || rig.now - f.2 >= 1000.0)
+            .filter(|(_, f)| harness.now >= outage_end || harness.now - f.2 >= 1000.0)
             .map(|(id, f)| (*id, f.1, f.2))
             .collect();
-        let events: Vec<Event> = over
+        let events: Vec<Event> = ended_attempts
             .iter()
             .map(|(id, attempt, sent)| {
-                flying.remove(id);
-                let outcome = if rig.now >= back { Outcome::Delivered } else { Outcome::TimedOut };
-                ended(*id, *attempt, outcome, rig.now - sent)
+                in_flight.remove(id);
+                let outcome = if harness.now >= outage_end { Outcome::Delivered } else { Outcome::TimedOut };
+                ended(*id, *attempt, outcome, harness.now - sent)
             })
             .collect();
-        let sent = rig.give(&events);
-        if rig.now >= silent + 3000.0 {
-            sent.iter().for_each(|x| sends[x.1[1..].parse::<usize>().unwrap()].push(rig.now));
+        let sent = harness.handle(&events);
+        if harness.now >= outage_start + 3000.0 {
+            sent.iter().for_each(|x| send_times[x.1[1..].parse::<usize>().unwrap()].push(harness.now));
         }
-        note(&rig, sent, &mut flying, &mut tries);
-        let sent = rig.wait(0.0);
-        note(&rig, sent, &mut flying, &mut tries);
-        most = most.max((steps() - before) / (asked.len() + events.len() + 1) as u64);
+        record_sends(&harness, sent, &mut in_flight, &mut attempts);
+        let sent = harness.advance(0.0);
+        record_sends(&harness, sent, &mut in_flight, &mut attempts);
+        max_steps = max_steps.max((steps() - before) / (requests.len() + events.len() + 1) as u64);
     }
-    println!("{most} steps an event at most");
-    assert_eq!(rig.relay.outages().iter().filter(|o| o.recovered_at.is_none()).count(), 0, "all are back");
-    for (dest, at) in sends.iter().enumerate() {
-        let trials = at.iter().filter(|t| **t < back).count();
-        assert!(trials <= 6, "{trials} trials of destination {dest} within 3 s while it is silent");
+    println!("{max_steps} steps an event at most");
+    assert_eq!(
+        harness.relay.outages().iter().filter(|o| o.recovered_at.is_none()).count(),
+        0,
+        "some destinations have not recovered"
+    );
+    for (destination, times) in send_times.iter().enumerate() {
+        let trials = times.iter().filter(|t| **t < outage_end).count();
+        assert!(
+            trials <= 6,
+            "{trials} half-open trials of destination {destination} within 3 s of its outage"
+        );
     }
 }
 
+/// Guards against one long round that delays everything else when 50,000 messages expire at the same moment:
+/// they are answered in bounded rounds, in which messages for other destinations are sent as well.
 #[test]
-fn fifty_thousand_that_end_in_one_millisecond_are_answered_in_bounded_rounds() {
+fn fifty_thousand_messages_that_expire_together_are_answered_in_bounded_rounds() {
     let count = 50_000;
-    let s = Settings { max_open: 100_000, slots: 8, tick_ms: 5.0, ..settings() };
-    let mut rig = Rig::new(s, 11);
-    let (first, _) = rig.ask(SAFE, 0);
-    rig.give(&[full(first, 0, 60_000.0)]);
-    let (mut open, mut due) = (BTreeSet::from([first]), 0.0f64);
+    let settings = Settings { max_open: 100_000, slots: 8, tick_ms: 5.0, ..settings() };
+    let mut harness = Harness::new(settings, 11);
+    let (first_id, _) = harness.submit(SAFE, 0);
+    harness.handle(&[ended_full(first_id, 0, 60_000.0)]);
+    let (mut open, mut due) = (BTreeSet::from([first_id]), 0.0f64);
     for _ in 0..count / 100 {
         let events: Vec<Event> = (0..100)
             .map(|_| {
-                let (id, event) = rig.request(SAFE, 0);
+                let (id, event) = harness.request(SAFE, 0);
                 open.insert(id);
                 event
             })
             .collect();
-        rig.give(&events);
+        harness.handle(&events);
     }
-    due = due.max(rig.now + 10_000.0);
-    let (mut timer, mut other) = (rig.now, 0);
-    while open.len() > 1 || !open.contains(&first) && !open.is_empty() {
-        rig.now = timer.max(rig.now + 0.5);
-        assert!(rig.now < due, "{} of {count} unanswered at their end", open.len());
-        // Another destination's message in each round is sent in that round.
-        let (_, event) = rig.request(SAFE, 1 + other % 10);
+    due = due.max(harness.now + 10_000.0);
+    let (mut timer, mut other) = (harness.now, 0);
+    while open.len() > 1 || !open.contains(&first_id) && !open.is_empty() {
+        harness.now = timer.max(harness.now + 0.5);
+        assert!(harness.now < due, "{} of {count} messages unanswered at their deadline", open.len());
+        // In each round a message for another destination is submitted and sent.
+        let (_, event) = harness.request(SAFE, 1 + other % 10);
         other += 1;
         let before = steps();
-        let sent = rig.give(&[Event::Timer { token: 0 }, event]);
+        let sent = harness.handle(&[Event::Timer { token: 0 }, event]);
         assert!(steps() - before < 300_000, "{} steps in one round", steps() - before);
         let mut answers = 0;
         timer = f64::MAX;
-        for action in &rig.last {
+        for action in &harness.last_actions {
             match action {
                 Action::Refuse { id, .. } | Action::Fail { id } => {
                     answers += 1;
-                    assert!(open.remove(id), "{id} is answered twice");
+                    assert!(open.remove(id), "message {id} was answered twice");
                 }
                 Action::Timer { at, .. } => timer = timer.min(*at),
                 _ => {}
@@ -268,9 +304,9 @@
         }
         assert!(answers <= 512, "{answers} answers in one round");
         for (id, _) in sent {
-            rig.now += 0.1;
-            rig.give(&[ended(id, 0, Outcome::Delivered, 0.1)]);
-            rig.last.iter().for_each(|a| {
+            harness.now += 0.1;
+            harness.handle(&[ended(id, 0, Outcome::Delivered, 0.1)]);
+            harness.last_actions.iter().for_each(|a| {
                 if let Action::Timer { at, .. } = a {
                     timer = timer.min(*at)
                 }
@@ -279,84 +315,87 @@
     }
 }
 
+/// Guards against work or changes for all destinations when a full list differs in one endpoint only.
 #[test]
-fn a_whole_list_of_20_000_that_differs_in_one_disturbs_one_destination() {
+fn a_full_list_of_20_000_that_differs_in_one_endpoint_affects_one_destination() {
     let hosts = 20_000;
     let list = |changed: Option<u64>| -> Vec<Endpoint> {
-        let listed =
+        let status =
             |n: u64| if Some(n) == changed { EndpointStatus::Draining } else { EndpointStatus::Active };
-        (0..hosts).map(|n| Endpoint { status: listed(n), ..endpoint(&format!("h{n}"), n / 2) }).collect()
+        (0..hosts).map(|n| Endpoint { status: status(n), ..endpoint(&format!("h{n}"), n / 2) }).collect()
     };
-    let s = Settings { max_open: 100_000, slots: 8000, ..settings() };
-    let mut rig = Rig::listed(s, list(None));
-    for dest in 0..5000 {
-        rig.ask(SAFE, dest);
+    let settings = Settings { max_open: 100_000, slots: 8000, ..settings() };
+    let mut harness = Harness::with_list(settings, list(None));
+    for destination in 0..5000 {
+        harness.submit(SAFE, destination);
     }
     let before = steps();
-    rig.give(&[Event::ListUpdate(ListUpdate::Full(list(Some(2))))]);
-    let one = steps() - before;
-    println!("{one} steps for a whole list of {hosts} that differs in one");
-    assert!(one < 8 * hosts, "{one} steps");
-    let hosts_asked: BTreeSet<String> = (0..4)
+    harness.handle(&[Event::ListUpdate(ListUpdate::Full(list(Some(2))))]);
+    let steps_for_one = steps() - before;
+    println!("{steps_for_one} steps for a full list of {hosts} that differs in one");
+    assert!(steps_for_one < 8 * hosts, "{steps_for_one} steps for a full list that differs in one endpoint");
+    let called_hosts: BTreeSet<String> = (0..4)
         .flat_map(|_| {
-            let (_, event) = rig.request(SAFE, 1);
-            rig.give(&[event]).into_iter().map(|x| x.1)
+            let (_, event) = harness.request(SAFE, 1);
+            harness.handle(&[event]).into_iter().map(|x| x.1)
         })
         .collect();
-    assert_eq!(hosts_asked, BTreeSet::from(["h3".to_string()]), "nothing new to the one that leaves");
-    // All of them replaced at once.
+    assert_eq!(called_hosts, BTreeSet::from(["h3".to_string()]), "the draining endpoint was called");
+    // Replace all endpoints at once.
     let new: Vec<Endpoint> = (0..hosts).map(|n| endpoint(&format!("n{n}"), n / 2)).collect();
     let before = steps();
-    rig.give(&[Event::ListUpdate(ListUpdate::Full(new))]);
-    let all = steps() - before;
-    println!("{all} steps for a change of {hosts} at once");
-    assert!(all < 400 * hosts, "{all} steps");
-    let (_, event) = rig.request(SAFE, 7000);
-    assert!(rig.give(&[event]).iter().all(|x| x.1 == "n14000" || x.1 == "n14001"));
+    harness.handle(&[Event::ListUpdate(ListUpdate::Full(new))]);
+    let steps_for_all = steps() - before;
+    println!("{steps_for_all} steps for a change of {hosts} at once");
+    assert!(steps_for_all < 400 * hosts, "{steps_for_all} steps to replace all endpoints");
+    let (_, event) = harness.request(SAFE, 7000);
+    assert!(harness.handle(&[event]).iter().all(|x| x.1 == "n14000" || x.1 == "n14001"));
 }
 
+/// Guards against a walk over all calls in flight to find the overdue call that is to be cancelled.
 #[test]
-fn the_hung_call_to_be_called_off_is_found_without_a_walk() {
-    let hung = |slots: usize| {
-        let s = Settings { max_open: 100_000, slots, ..settings() };
-        let dests = slots as u64 / 4;
-        let mut rig = Rig::new(s, dests + 1);
-        (0..=dests).for_each(|dest| rig.warm_up(dest, 3, 10.0));
+fn the_overdue_call_to_cancel_is_found_without_a_walk() {
+    let steps_to_cancel = |slots: usize| {
+        let settings = Settings { max_open: 100_000, slots, ..settings() };
+        let destinations = slots as u64 / 4;
+        let mut harness = Harness::new(settings, destinations + 1);
+        (0..=destinations).for_each(|destination| harness.warm_up(destination, 3, 10.0));
         // Unsafe messages fill all slots, and none is answered.
         for n in 0..slots as u64 {
-            let (_, event) = rig.request(UNSAFE, n % dests);
-            rig.give(&[event]);
-            rig.now += 0.01;
+            let (_, event) = harness.request(UNSAFE, n % destinations);
+            harness.handle(&[event]);
+            harness.now += 0.01;
         }
-        assert!(!rig.ask(SAFE, dests).1, "no slot is free");
-        rig.now += 5000.0;
+        assert!(!harness.submit(SAFE, destinations).1, "sent although no slot is free");
+        harness.now += 5000.0;
         let before = steps();
-        rig.wait(0.0);
+        harness.advance(0.0);
         let spent = steps() - before;
-        let called: Vec<u64> = rig
-            .last
+        let cancelled: Vec<u64> = harness
+            .last_actions
             .iter()
             .filter_map(|a| if let Action::Cancel { id, .. } = a { Some(*id) } else { None })
             .collect();
-        assert_eq!(called.len(), 1, "one at a time");
-        let sent = rig.end(called[0], 0, Outcome::Cancelled, 5000.0);
+        assert_eq!(cancelled.len(), 1, "not exactly one call was cancelled");
+        let sent = harness.end_attempt(cancelled[0], 0, Outcome::Cancelled, 5000.0);
         assert!(
-            sent.iter().any(|x| x.1 == format!("h{dests}")),
-            "and its slot goes to the queue that can send"
+            sent.iter().any(|x| x.1 == format!("h{destinations}")),
+            "the slot did not go to the queue that can send"
         );
-        // What fell due together was looked at once; the next call is found at once.
+        // Calls that became overdue together are examined once; the next call to cancel is then found at
+        // once.
         let before = steps();
-        rig.wait(1.0);
-        let cancels = rig.last.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
+        harness.advance(1.0);
+        let cancels = harness.last_actions.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
         assert_eq!(
             cancels,
-            usize::from(!sent.is_empty() && rig.relay.outages().is_empty()),
-            "{:?}",
-            rig.last
+            usize::from(!sent.is_empty() && harness.relay.outages().is_empty()),
+            "wrong number of cancellations: {:?}",
+            harness.last_actions
         );
         (spent, steps() - before)
     };
-    let (small, large) = (hung(40), hung(4000));
+    let (small, large) = (steps_to_cancel(40), steps_to_cancel(4000));
     println!("{small:?} steps with 40 slots, {large:?} with 4000");
     assert!(large.0 < 300 * small.0 && large.1 <= 4 * small.1.max(50));
 }
--- a/crates/linenhall/tests/slot_shortage.rs
+++ b/crates/linenhall/tests/slot_shortage.rs
@@ -1,28 +1,28 @@
-//! Moments in which slots are short, as the operators' days have them: what the slots go to. Each is a stream of events
-//! from a clock, with partners that take a fixed time; the figures are messages of some thousand.
+//! Which messages get the slots when slots are short. Each test simulates a production situation: a stream of
+//! some thousand messages on a manual clock, for partners with fixed response times.
 mod common;
 use common::*;
 use linenhall::*;
 use std::collections::BTreeMap;
 
-/// What a partner does with a call.
+/// How a partner reacts to a call.
 #[derive(Clone, Copy)]
 enum Reply {
-    /// Delivers it after so many milliseconds.
+    /// Delivers the message after this time in milliseconds.
     After(f64),
-    /// Turns it away after 5 ms and tells this wait.
+    /// Turns the call away after 5 ms with this Retry-After in milliseconds.
     Wait(f64),
     /// Never answers.
     Never,
 }
 use Reply::*;
 
-/// A partner as these moments have it.
+/// A simulated partner.
 #[derive(Clone, Copy)]
 struct Partner {
-    /// Messages a second.
+    /// Messages per second for it.
     rate: f64,
-    /// Replies to a call, by the time since the start in milliseconds and by its number.
+    /// Reply to a call, by the time since the start in milliseconds and the number of the call.
     reply: fn(f64, usize) -> Reply,
 }
 
@@ -30,19 +30,20 @@
     Partner { rate, reply }
 }
 
-/// How a partner's messages ended, those of the first second aside.
+/// How a partner's messages ended, without those of the first second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Ends {
+struct OutcomeCounts {
     in_time: usize,
     late: usize,
     refused: usize,
-    /// Worth delivered and asked for.
+    /// Value of the delivered messages.
     value: f64,
-    asked: f64,
+    /// Full value of all submitted messages.
+    submitted_value: f64,
 }
 
-/// The operators' two kinds of message: worth falls by half with each aim.
-fn operators() -> Settings {
+/// Settings with two classes as in production; the value halves with each aim.
+fn production_settings() -> Settings {
     let orders = Class { aim_ms: 2000.0, deadline_ms: 10000.0, late_value: 0.3, ..class(Effect::Keyed) };
     let updates =
         Class { aim_ms: 800.0, deadline_ms: 6000.0, value: 3.0, late_value: 0.1, ..class(Effect::Safe) };
@@ -50,95 +51,108 @@
     Settings { max_open: 400, retry_after: true, value_decay: ValueDecay::Halving, classes, ..settings() }
 }
 
-/// Plays for so many milliseconds, of which the first second does not count, in steps of 5.
-fn play(settings: Settings, partners: &[Partner], class: impl Fn(u64) -> usize, ms: f64) -> Vec<Ends> {
-    play_and_note(settings, partners, class, ms).0
+/// Simulates `duration_ms` in steps of 5 ms and returns the outcomes; messages of the first second do not
+/// count.
+fn simulate(
+    settings: Settings, partners: &[Partner], class: impl Fn(u64) -> usize, duration_ms: f64,
+) -> Vec<OutcomeCounts> {
+    simulate_with_send_times(settings, partners, class, duration_ms).0
 }
 
-/// The same, and when calls were sent to each partner, in milliseconds since the start.
-fn play_and_note(
-    settings: Settings, partners: &[Partner], class: impl Fn(u64) -> usize, ms: f64,
-) -> (Vec<Ends>, Vec<Vec<f64>>) {
+/// As [`simulate`], also returns for each partner when calls were sent, in milliseconds since the start.
+fn simulate_with_send_times(
+    settings: Settings, partners: &[Partner], class: impl Fn(u64) -> usize, duration_ms: f64,
+) -> (Vec<OutcomeCounts>, Vec<Vec<f64>>) {
     let classes = settings.classes.clone();
-    let mut rig = Rig::new(settings, partners.len() as u64);
-    let mut flying: Vec<(f64, Event)> = Vec::new();
-    let mut asked = BTreeMap::<u64, (usize, f64, usize)>::new();
-    let mut tries = BTreeMap::<u64, u32>::new();
-    let mut owed = vec![0.0; partners.len()];
-    let mut ends = vec![Ends::default(); partners.len()];
+    let mut harness = Harness::new(settings, partners.len() as u64);
+    let mut in_flight: Vec<(f64, Event)> = Vec::new();
+    // Destination, arrival time and class of each message.
+    let mut submitted = BTreeMap::<u64, (usize, f64, usize)>::new();
+    let mut attempts = BTreeMap::<u64, u32>::new();
+    // Messages due and not yet submitted, with their fraction.
+    let mut arrivals = vec![0.0; partners.len()];
+    let mut counts = vec![OutcomeCounts::default(); partners.len()];
     let mut sent = vec![Vec::new(); partners.len()];
-    let begin = rig.now;
-    while rig.now < begin + ms {
-        rig.now += 5.0;
-        let now = rig.now;
-        let (over, out): (Vec<_>, Vec<_>) = flying.into_iter().partition(|f| f.0 <= now);
-        flying = out;
-        let mut events: Vec<Event> = over.into_iter().map(|f| f.1).collect();
-        for (dest, p) in partners.iter().enumerate() {
-            owed[dest] += p.rate * 0.005;
-            while owed[dest] >= 1.0 {
-                owed[dest] -= 1.0;
-                let class = class(asked.len() as u64);
-                let (id, mut event) = rig.request(class, dest as u64);
+    let start = harness.now;
+    while harness.now < start + duration_ms {
+        harness.now += 5.0;
+        let now = harness.now;
+        let (ended_now, still_in_flight): (Vec<_>, Vec<_>) = in_flight.into_iter().partition(|f| f.0 <= now);
+        in_flight = still_in_flight;
+        let mut events: Vec<Event> = ended_now.into_iter().map(|f| f.1).collect();
+        for (destination, partner) in partners.iter().enumerate() {
+            arrivals[destination] += partner.rate * 0.005;
+            while arrivals[destination] >= 1.0 {
+                arrivals[destination] -= 1.0;
+                let class = class(submitted.len() as u64);
+                let (id, mut event) = harness.request(class, destination as u64);
                 if let Event::Request { due, .. } = &mut event {
                     *due = now + classes[class].deadline_ms;
                 }
-                asked.insert(id, (dest, now, class));
-                ends[dest].asked += if now > begin + 1000.0 { classes[class].value } else { 0.0 };
+                submitted.insert(id, (destination, now, class));
+                counts[destination].submitted_value +=
+                    if now > start + 1000.0 { classes[class].value } else { 0.0 };
                 events.push(event);
             }
         }
         for event in &events {
             if let Event::Ended { id, outcome: Outcome::Delivered, .. } = event {
-                let (dest, born, class) = asked[id];
-                let (ends, c) = (&mut ends[dest], &classes[class]);
-                if born > begin + 1000.0 {
-                    let late = (now - born - c.aim_ms).max(0.0) / c.aim_ms;
-                    *if late > 0.0 { &mut ends.late } else { &mut ends.in_time } += 1;
-                    ends.value += c.value * 0.5f64.powf(late).max(c.late_value);
+                let (destination, arrived_at, class) = submitted[id];
+                let (counts, class) = (&mut counts[destination], &classes[class]);
+                if arrived_at > start + 1000.0 {
+                    let late_by_aims = (now - arrived_at - class.aim_ms).max(0.0) / class.aim_ms;
+                    *if late_by_aims > 0.0 { &mut counts.late } else { &mut counts.in_time } += 1;
+                    counts.value += class.value * 0.5f64.powf(late_by_aims).max(class.late_value);
                 }
             }
         }
         events.push(Event::Timer { token: 0 });
-        rig.give(&events);
-        for action in rig.last.clone() {
+        harness.handle(&events);
+        for action in harness.last_actions.clone() {
             let Action::Send { id, endpoint, timeout_ms, .. } = action else { continue };
-            let dest: usize = endpoint[1..].parse().expect("endpoints are named after their destination");
-            let attempt = tries.entry(id).or_default();
-            sent[dest].push(now - begin);
+            let destination: usize =
+                endpoint[1..].parse().expect("endpoints are named after their destination");
+            let attempt = attempts.entry(id).or_default();
+            sent[destination].push(now - start);
             let timeout = timeout_ms.unwrap_or(f64::MAX);
-            flying.push(match (partners[dest].reply)(now - begin, sent[dest].len()) {
+            in_flight.push(match (partners[destination].reply)(now - start, sent[destination].len()) {
                 After(took) if took < timeout => (now + took, ended(id, *attempt, Outcome::Delivered, took)),
-                Wait(wait) => (now + 5.0, full(id, *attempt, wait)),
+                Wait(wait) => (now + 5.0, ended_full(id, *attempt, wait)),
                 After(_) | Never => (now + timeout, ended(id, *attempt, Outcome::TimedOut, timeout)),
             });
             *attempt += 1;
         }
-        for action in &rig.last {
+        for action in &harness.last_actions {
             match action {
-                Action::Refuse { id, .. } if asked[id].1 > begin + 1000.0 => ends[asked[id].0].refused += 1,
+                Action::Refuse { id, .. } if submitted[id].1 > start + 1000.0 => {
+                    counts[submitted[id].0].refused += 1
+                }
                 Action::Cancel { id, attempt } => {
-                    let of = |e: &Event| matches!(e, Event::Ended { id: x, attempt: n, .. } if (x, n) == (id, attempt));
-                    let off = flying.iter_mut().find(|f| of(&f.1));
-                    off.into_iter().for_each(|f| *f = (now, ended(*id, *attempt, Outcome::Cancelled, 0.0)));
+                    let is_end_of_attempt = |e: &Event| matches!(e, Event::Ended { id: x, attempt: n, .. } if (x, n) == (id, attempt));
+                    let cancelled = in_flight.iter_mut().find(|f| is_end_of_attempt(&f.1));
+                    cancelled
+                        .into_iter()
+                        .for_each(|f| *f = (now, ended(*id, *attempt, Outcome::Cancelled, 0.0)));
                 }
                 _ => {}
             }
         }
-        rig.relay.audit().expect("the module stands up to an audit");
+        harness.relay.audit().expect("audit failed");
     }
-    (ends, sent)
+    (counts, sent)
 }
 
-/// Calls that the rule on returning destinations allows from one time to another, to one that came back at `back` and
-/// takes `rate` calls a second when it is warm.
-fn allowed(s: &Settings, rate: f64, back: f64, (from, to): (f64, f64)) -> f64 {
-    let warm = (((from + to) / 2.0 - back) / s.warm_after_ms).clamp(0.0, 1.0);
-    s.fall_multiple * (s.cold_share + (1.0 - s.cold_share) * warm) * rate * (to - from) / 1000.0
+/// Returns the number of calls that the slow-start rule allows between two times, to a destination that
+/// recovered at `recovered_at` and takes `rate` calls per second when it is warm.
+fn allowed_calls(settings: &Settings, rate: f64, recovered_at: f64, (from, to): (f64, f64)) -> f64 {
+    let warm = (((from + to) / 2.0 - recovered_at) / settings.warm_after_ms).clamp(0.0, 1.0);
+    settings.fall_multiple * (settings.cold_share + (1.0 - settings.cold_share) * warm) * rate * (to - from)
+        / 1000.0
 }
 
-/// Two quick partners with much traffic, a slow one, and some whose queues wait for something else than slots.
-fn rush() -> Vec<Partner> {
+/// Two fast partners with much traffic, a slow one, and five whose queues wait for a Retry-After and not for
+/// slots.
+fn mixed_partners() -> Vec<Partner> {
     let mut partners = vec![
         partner(150.0, |_, _| After(35.0)),
         partner(40.0, |_, _| After(55.0)),
@@ -148,83 +162,114 @@
     partners
 }
 
-/// The share of what was asked for that was delivered, in worth.
-fn share(ends: &[Ends]) -> f64 {
-    ends.iter().map(|e| e.value).sum::<f64>() / ends.iter().map(|e| e.asked).sum::<f64>()
+/// Returns the value delivered as a share of the value submitted.
+fn delivered_share(counts: &[OutcomeCounts]) -> f64 {
+    counts.iter().map(|e| e.value).sum::<f64>() / counts.iter().map(|e| e.submitted_value).sum::<f64>()
 }
 
-/// Turns that count sends, or nearly so, give a partner that takes 900 ms as many slots as it asks for, while a quick
-/// one's queue ages out; and credits that fall to their cap together tell nothing apart.
+/// Guards against turns that count sends and not the time that a send holds its slot: a partner that takes
+/// 900 ms then gets as many slots as it can use, while the messages for a fast one expire in their queue.
+/// Credits that have all fallen to their cap cannot tell the queues apart either.
 #[test]
-fn while_slots_are_short_they_go_where_a_delivery_takes_least_of_them() {
-    let ends = play(operators(), &rush(), |n| usize::from(n % 3 == 0), 12000.0);
-    println!("{:.3} {ends:?}", share(&ends));
-    assert!(share(&ends) >= 0.72, "{}: {ends:?}", share(&ends));
-    assert!(ends[2].in_time + ends[2].late > 2, "the slow one is not shut out: {ends:?}");
+fn short_slots_go_to_the_partners_that_need_least_slot_time_for_a_delivery() {
+    let counts = simulate(production_settings(), &mixed_partners(), |n| usize::from(n % 3 == 0), 12000.0);
+    println!("{:.3} {counts:?}", delivered_share(&counts));
+    assert!(
+        delivered_share(&counts) >= 0.72,
+        "share of value delivered {}: {counts:?}",
+        delivered_share(&counts)
+    );
+    assert!(counts[2].in_time + counts[2].late > 2, "the slow partner is shut out: {counts:?}");
 }
 
-/// With the hold full, what has lost its worth goes before what has just come.
+/// A full queue sheds messages that have lost most of their value before new ones.
 #[test]
-fn a_full_hold_lets_go_what_is_late_before_what_is_fresh() {
+fn a_full_queue_sheds_late_messages_before_new_ones() {
     let partners = [partner(140.0, |_, _| After(50.0))];
-    let s = Settings { max_open: 120, slots: 4, ..operators() };
-    let ends = play(s, &partners, |n| usize::from(n % 3 == 0), 12000.0);
-    println!("{:.3} {ends:?}", share(&ends));
-    assert!(share(&ends) >= 0.6 && ends[0].late < 20, "{}: {ends:?}", share(&ends));
+    let settings = Settings { max_open: 120, slots: 4, ..production_settings() };
+    let counts = simulate(settings, &partners, |n| usize::from(n % 3 == 0), 12000.0);
+    println!("{:.3} {counts:?}", delivered_share(&counts));
+    assert!(
+        delivered_share(&counts) >= 0.6 && counts[0].late < 20,
+        "share of value delivered {}: {counts:?}",
+        delivered_share(&counts)
+    );
 }
 
-/// Half of the partners slow at once, without errors: time-outs only. The others keep their service. Two of the three answer
-/// nothing, so that they are cold when they come back: none gets more then than the rule allows, chance aside (N + 3 x root of
-/// N + 3), and they are served at least half of what the rule lets through. (It was 0.4 of all that was asked for, which
-/// was reached by 63 and 42 calls in spans in which 37 and 32 are allowed.)
+/// Half of the partners become slow at once, with time-outs and no errors; the others must keep their
+/// service.
+///
+/// Two of the three answer nothing and are cold when they recover. None may get more calls then than the
+/// slow-start rule allows (N, with a tolerance of 3 * sqrt(N) + 3 for random variation), and the three must
+/// get at least half of what the rule permits. A share of all submitted messages is no bound for this: 0.4 of
+/// them was only reached with 63 and 42 calls in spans in which 37 and 32 are allowed.
 #[test]
-fn half_of_the_partners_slow_at_once_do_not_take_the_slots_of_the_others() {
-    const SLOW: (f64, f64) = (3000.0, 8000.0);
-    const RATE: f64 = 12.0;
-    const END: f64 = 12000.0;
-    let slow = |ms, _| if (SLOW.0..SLOW.1).contains(&ms) { Never } else { After(60.0) };
-    let slower = |ms, _| if (SLOW.0..SLOW.1).contains(&ms) { After(1500.0) } else { After(60.0) };
-    let well = |_, _| After(60.0);
-    let partners: Vec<Partner> = [slow, slow, slower]
-        .map(|reply| partner(RATE, reply))
+fn slow_partners_do_not_take_the_slots_of_others_and_recover_within_slow_start() {
+    const SLOW_MS: (f64, f64) = (3000.0, 8000.0);
+    const RATE_PER_S: f64 = 12.0;
+    const END_MS: f64 = 12000.0;
+    let silent = |ms, _| if (SLOW_MS.0..SLOW_MS.1).contains(&ms) { Never } else { After(60.0) };
+    let slow = |ms, _| if (SLOW_MS.0..SLOW_MS.1).contains(&ms) { After(1500.0) } else { After(60.0) };
+    let healthy = |_, _| After(60.0);
+    let partners: Vec<Partner> = [silent, silent, slow]
+        .map(|reply| partner(RATE_PER_S, reply))
         .into_iter()
-        .chain((0..3).map(|_| partner(20.0, well)))
+        .chain((0..3).map(|_| partner(20.0, healthy)))
         .collect();
-    let s = operators();
-    let (ends, sent) = play_and_note(s.clone(), &partners, |n| usize::from(n % 3 == 0), END);
-    println!("{:.3}, the well ones {:.3} {ends:?}", share(&ends), share(&ends[3..]));
-    assert!(share(&ends[3..]) >= 0.98, "{}: {ends:?}", share(&ends[3..]));
+    let settings = production_settings();
+    let (counts, sent) =
+        simulate_with_send_times(settings.clone(), &partners, |n| usize::from(n % 3 == 0), END_MS);
+    println!(
+        "{:.3}, the healthy partners {:.3} {counts:?}",
+        delivered_share(&counts),
+        delivered_share(&counts[3..])
+    );
+    assert!(
+        delivered_share(&counts[3..]) >= 0.98,
+        "share of value delivered to the healthy partners {}: {counts:?}",
+        delivered_share(&counts[3..])
+    );
     for (partner, sent) in sent.iter().take(2).enumerate() {
-        for from in sent.iter().filter(|at| **at >= SLOW.1) {
-            let span = (*from, from + s.fall_ms);
+        for from in sent.iter().filter(|at| **at >= SLOW_MS.1) {
+            let span = (*from, from + settings.fall_ms);
             let calls = sent.iter().filter(|at| (span.0..span.1).contains(*at)).count() as f64;
-            let n = allowed(&s, RATE, SLOW.1, span);
+            let allowed = allowed_calls(&settings, RATE_PER_S, SLOW_MS.1, span);
             assert!(
-                calls <= n + 3.0 * n.sqrt() + 3.0,
-                "{partner}: {calls} calls from {from} on, {n} allowed"
+                calls <= allowed + 3.0 * allowed.sqrt() + 3.0,
+                "partner {partner}: {calls} calls in the span from {from} ms on, {allowed} allowed"
             );
         }
     }
-    let before = RATE * (SLOW.0 - 1000.0) / 1000.0;
-    let lets_through = (before + allowed(&s, RATE, SLOW.1, (SLOW.1, END))) / (RATE * (END - 1000.0) / 1000.0);
-    assert!(share(&ends[..3]) >= lets_through / 2.0, "{} of {lets_through}: {ends:?}", share(&ends[..3]));
+    let before = RATE_PER_S * (SLOW_MS.0 - 1000.0) / 1000.0;
+    let permitted_share = (before + allowed_calls(&settings, RATE_PER_S, SLOW_MS.1, (SLOW_MS.1, END_MS)))
+        / (RATE_PER_S * (END_MS - 1000.0) / 1000.0);
+    assert!(
+        delivered_share(&counts[..3]) >= permitted_share / 2.0,
+        "share of value delivered {}, permitted {permitted_share}: {counts:?}",
+        delivered_share(&counts[..3])
+    );
 }
 
-/// Connections of the busiest partner fall silent, one call in eight, while its others deliver: what was lost must not fill
-/// the slots.
+/// Guards against lost calls that fill the slots: one call in eight to the busiest partner is never answered,
+/// while the others are delivered.
 #[test]
-fn silent_connections_to_the_busiest_partner_leave_it_its_slots() {
+fn unanswered_calls_to_the_busiest_partner_do_not_fill_its_slots() {
     let lossy = |_, n: usize| if n.is_multiple_of(8) { Never } else { After(40.0) };
     let partners =
         [partner(90.0, lossy), partner(20.0, |_, _| After(60.0)), partner(5.0, |_, _| After(300.0))];
-    let ends = play(operators(), &partners, |n| usize::from(n % 3 == 0), 12000.0);
-    println!("{:.3} {ends:?}", share(&ends));
-    assert!(share(&ends) >= 0.9, "{}: {ends:?}", share(&ends));
+    let counts = simulate(production_settings(), &partners, |n| usize::from(n % 3 == 0), 12000.0);
+    println!("{:.3} {counts:?}", delivered_share(&counts));
+    assert!(
+        delivered_share(&counts) >= 0.9,
+        "share of value delivered {}: {counts:?}",
+        delivered_share(&counts)
+    );
 }
 
-/// Partners deliver and then fall silent, one after the other, and come back.
+/// Two partners deliver, then stop answering one after the other, and recover. The third must keep its
+/// service.
 #[test]
-fn partners_that_deliver_and_then_fall_silent_cost_no_more_than_their_own() {
+fn partners_that_stop_answering_do_not_affect_others() {
     fn silent(from: f64) -> impl Fn(f64) -> Reply {
         move |ms| if (from..from + 2000.0).contains(&ms) { Never } else { After(50.0) }
     }
@@ -233,8 +278,20 @@
         partner(40.0, |ms, _| silent(6000.0)(ms)),
         partner(30.0, |_, _| After(50.0)),
     ];
-    let ends = play(operators(), &partners, |n| usize::from(n % 3 == 0), 14000.0);
-    println!("{:.3}, the well one {:.3} {ends:?}", share(&ends), share(&ends[2..]));
-    assert!(share(&ends[2..]) >= 0.98, "{}: {ends:?}", share(&ends[2..]));
-    assert!(share(&ends[..2]) >= 0.7, "{}: {ends:?}", share(&ends[..2]));
+    let counts = simulate(production_settings(), &partners, |n| usize::from(n % 3 == 0), 14000.0);
+    println!(
+        "{:.3}, the healthy partner {:.3} {counts:?}",
+        delivered_share(&counts),
+        delivered_share(&counts[2..])
+    );
+    assert!(
+        delivered_share(&counts[2..]) >= 0.98,
+        "share of value delivered to the healthy partner {}: {counts:?}",
+        delivered_share(&counts[2..])
+    );
+    assert!(
+        delivered_share(&counts[..2]) >= 0.7,
+        "share of value delivered to the silent partners {}: {counts:?}",
+        delivered_share(&counts[..2])
+    );
 }
--- a/crates/linenhall/tests/streams.rs
+++ b/crates/linenhall/tests/streams.rs
@@ -1,50 +1,62 @@
-//! Random streams of events: requests of all classes and orders, outages, told waits and limits, batches, routes
-//! apart, drains, whole lists and changes, restores, stops. After each round the module is audited by plain walks;
-//! and what it does on some streams is recorded, so that a decision that changes unasked shows.
+//! Random streams of events: requests of all classes with and without order keys, outages, Retry-Afters and
+//! limits, batches, endpoints with own limits, drains, full lists and deltas, restored messages, shutdowns.
+//! After each round an audit compares the module's state with plain walks over it. The decisions on some
+//! streams are recorded, so that an unintended change of a decision shows.
 use linenhall::*;
 use std::fmt::Write;
 
-/// Events come on this grid.
-const GRID: f64 = 25.0;
+/// Time between two rounds of events.
+const ROUND_MS: f64 = 25.0;
 
-/// What a destination does with calls.
+/// How a destination reacts to calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum State {
-    Well,
+enum DestinationState {
+    Healthy,
+    /// Answers this share of calls with an error.
     Errors(f64),
+    /// Turns calls away as full, with this Retry-After in milliseconds.
     Full(f64),
+    /// Never answers.
     Silent,
-    Refused,
+    /// Refuses most connections and breaks the others.
+    ConnectionsFail,
 }
 
-struct Flying {
+struct InFlightCall {
     id: u64,
     attempt: u32,
-    sent: f64,
-    until: f64,
+    sent_at: f64,
+    ends_at: f64,
     outcome: Outcome,
     wait_ms: f64,
 }
 
-struct World {
+/// Simulation of the clients, the discovery and the destinations around one relay.
+struct Simulation {
     rng: fastrand::Rng,
-    s: Settings,
+    settings: Settings,
     now: f64,
-    next: u64,
+    last_id: u64,
     list: Vec<Endpoint>,
-    states: Vec<(State, f64)>,
-    speeds: Vec<f64>,
-    flying: Vec<Flying>,
-    tries: std::collections::BTreeMap<u64, u32>,
+    /// State of each destination and the time at which it ends.
+    states: Vec<(DestinationState, f64)>,
+    /// Mean response time of each destination in milliseconds.
+    response_times: Vec<f64>,
+    in_flight: Vec<InFlightCall>,
+    /// Attempts made for each message.
+    attempts: std::collections::BTreeMap<u64, u32>,
+    /// Endpoint and end of each probe in flight.
     probes: Vec<(String, f64)>,
+    /// Messages without a final answer.
     open: Vec<u64>,
     timer: f64,
-    busy: f64,
+    /// Mean number of requests in a round.
+    load: f64,
     stopping: bool,
 }
 
 fn classes(rng: &mut fastrand::Rng) -> Vec<Class> {
-    let make = |effect, dedup_scope, in_order| Class {
+    let class = |effect, dedup_scope, in_order| Class {
         aim_ms: 500.0,
         deadline_ms: 6000.0,
         effect,
@@ -54,18 +66,18 @@
         late_value: 0.1,
         in_order,
     };
-    let mut all = vec![
-        Class { value: 3.0, ..make(Effect::Safe, DedupScope::All, false) },
-        make(Effect::Keyed, DedupScope::All, false),
-        Class { aim_ms: 1000.0, ..make(Effect::Keyed, DedupScope::Zone, false) },
-        make(Effect::Keyed, DedupScope::Endpoint, false),
-        Class { aim_ms: 800.0, deadline_ms: 4000.0, ..make(Effect::Unsafe, DedupScope::All, false) },
-        make(Effect::Keyed, DedupScope::All, true),
-        Class { aim_ms: 900.0, late_value: 0.3, ..make(Effect::Safe, DedupScope::All, true) },
+    let mut classes = vec![
+        Class { value: 3.0, ..class(Effect::Safe, DedupScope::All, false) },
+        class(Effect::Keyed, DedupScope::All, false),
+        Class { aim_ms: 1000.0, ..class(Effect::Keyed, DedupScope::Zone, false) },
+        class(Effect::Keyed, DedupScope::Endpoint, false),
+        Class { aim_ms: 800.0, deadline_ms: 4000.0, ..class(Effect::Unsafe, DedupScope::All, false) },
+        class(Effect::Keyed, DedupScope::All, true),
+        Class { aim_ms: 900.0, late_value: 0.3, ..class(Effect::Safe, DedupScope::All, true) },
     ];
-    rng.shuffle(&mut all);
-    all.truncate(rng.usize(1..=all.len()));
-    all
+    rng.shuffle(&mut classes);
+    classes.truncate(rng.usize(1..=classes.len()));
+    classes
 }
 
 fn settings(rng: &mut fastrand::Rng) -> Settings {
@@ -103,13 +115,13 @@
     }
 }
 
-impl World {
-    fn new(seed: u64) -> World {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let s = settings(&mut rng);
-        let dests = rng.u64(1..13);
+        let settings = settings(&mut rng);
+        let destinations = rng.u64(1..13);
         let mut list = Vec::new();
-        for destination in 0..dests {
+        for destination in 0..destinations {
             let kind = rng.usize(0..3);
             for n in 0..rng.u32(1..4) {
                 let (name, weight) = (format!("h{destination}-{n}"), 20.0 + rng.f64() * 100.0);
@@ -117,25 +129,25 @@
                 list.push(Endpoint { name, destination, zone, kind, weight, status: EndpointStatus::Active });
             }
         }
-        let states = (0..dests).map(|_| (State::Well, 0.0)).collect();
-        let speeds = (0..dests).map(|_| 20.0 + rng.f64() * 300.0).collect();
-        let (busy, tries) = (rng.f64() * 4.0, Default::default());
-        let (flying, probes, open) = (Vec::new(), Vec::new(), Vec::new());
-        let (now, next, timer) = (1000.0, 0, f64::MAX);
-        World {
+        let states = (0..destinations).map(|_| (DestinationState::Healthy, 0.0)).collect();
+        let response_times = (0..destinations).map(|_| 20.0 + rng.f64() * 300.0).collect();
+        let (load, attempts) = (rng.f64() * 4.0, Default::default());
+        let (in_flight, probes, open) = (Vec::new(), Vec::new(), Vec::new());
+        let (now, last_id, timer) = (1000.0, 0, f64::MAX);
+        Simulation {
             rng,
-            s,
+            settings,
             now,
-            next,
+            last_id,
             list,
             states,
-            speeds,
-            flying,
-            tries,
+            response_times,
+            in_flight,
+            attempts,
             probes,
             open,
             timer,
-            busy,
+            load,
             stopping: false,
         }
     }
@@ -149,15 +161,15 @@
     }
 
     fn request(&mut self) -> Event {
-        self.next += 1;
-        let id = self.next;
-        let class = self.rng.usize(0..self.s.classes.len());
+        self.last_id += 1;
+        let id = self.last_id;
+        let class = self.rng.usize(0..self.settings.classes.len());
         let tenant = self.rng.usize(0..4);
         let key = Some(format!("k{}", self.rng.u32(0..5))).filter(|_| self.rng.f64() < 0.8);
-        // Most of the traffic goes to a few, one destination is in no list.
-        let most = self.states.len() as u64 + u64::from(self.rng.f64() < 0.02);
-        let destination = (self.rng.f64().powi(2) * most as f64) as u64;
-        let due = self.now + self.s.classes[class].deadline_ms;
+        // Most of the traffic goes to a few destinations; one destination is in no list.
+        let destination_count = self.states.len() as u64 + u64::from(self.rng.f64() < 0.02);
+        let destination = (self.rng.f64().powi(2) * destination_count as f64) as u64;
+        let due = self.now + self.settings.classes[class].deadline_ms;
         self.open.push(id);
         Event::Request { id, class, tenant, key, due, destination }
     }
@@ -171,7 +183,7 @@
         let first_uncertain_send =
             Some((self.now - self.rng.u32(0..2500) as f64, host)).filter(|_| attempts > 0 && self.rng.bool());
         let may_be_running = first_uncertain_send.is_some() && self.rng.bool();
-        self.tries.insert(id, attempts);
+        self.attempts.insert(id, attempts);
         let due = due - 500.0;
         let untried = attempts == 0;
         Event::Restored {
@@ -188,77 +200,81 @@
         }
     }
 
-    /// News of the list: a change, a drain, a replacement, or all of it.
-    fn news(&mut self) -> Event {
-        let at = self.rng.usize(0..self.list.len());
+    /// Returns an update of the list: a change, a drain, a replacement, a failure or the full list.
+    fn list_update(&mut self) -> Event {
+        let index = self.rng.usize(0..self.list.len());
         match self.rng.u32(0..6) {
-            0 => self.list[at].status = EndpointStatus::Draining,
-            1 => self.list[at].status = EndpointStatus::Active,
-            2 => self.list[at].weight = 20.0 + self.rng.f64() * 100.0,
+            0 => self.list[index].status = EndpointStatus::Draining,
+            1 => self.list[index].status = EndpointStatus::Active,
+            2 => self.list[index].weight = 20.0 + self.rng.f64() * 100.0,
             3 => {
-                let old = Endpoint { status: EndpointStatus::Removed, ..self.list[at].clone() };
-                self.list[at].name += "x";
-                return Event::ListUpdate(ListUpdate::Delta(vec![old, self.list[at].clone()]));
+                let old = Endpoint { status: EndpointStatus::Removed, ..self.list[index].clone() };
+                self.list[index].name += "x";
+                return Event::ListUpdate(ListUpdate::Delta(vec![old, self.list[index].clone()]));
             }
             4 => return Event::ListUpdate(ListUpdate::Failed),
-            _ => self.list[at].name += "y",
+            _ => self.list[index].name += "y",
         }
         Event::ListUpdate(match self.rng.u32(0..3) {
             0 => ListUpdate::Full(self.list.clone()),
             1 => ListUpdate::Cached(self.list.clone()),
-            _ => ListUpdate::Delta(vec![self.list[at].clone()]),
+            _ => ListUpdate::Delta(vec![self.list[index].clone()]),
         })
     }
 
+    /// Advances the clock by one round and returns the events of that round.
     fn events(&mut self) -> Vec<Event> {
-        self.now += GRID;
+        self.now += ROUND_MS;
         let mut events = Vec::new();
         if self.timer <= self.now {
             self.timer = f64::MAX;
             events.push(Event::Timer { token: 0 });
         }
-        for dest in 0..self.states.len() {
-            if self.states[dest].1 > self.now || self.rng.f64() > 0.004 {
-                if self.states[dest].1 <= self.now {
-                    self.states[dest].0 = State::Well;
+        for destination in 0..self.states.len() {
+            if self.states[destination].1 > self.now || self.rng.f64() > 0.004 {
+                if self.states[destination].1 <= self.now {
+                    self.states[destination].0 = DestinationState::Healthy;
                 }
                 continue;
             }
             let state = match self.rng.u32(0..5) {
-                0 => State::Errors(0.5 + self.rng.f64() / 2.0),
-                1 => State::Full(200.0 * self.rng.f64()),
-                2 => State::Full(0.0),
-                3 => State::Silent,
-                _ => State::Refused,
+                0 => DestinationState::Errors(0.5 + self.rng.f64() / 2.0),
+                1 => DestinationState::Full(200.0 * self.rng.f64()),
+                2 => DestinationState::Full(0.0),
+                3 => DestinationState::Silent,
+                _ => DestinationState::ConnectionsFail,
             };
-            self.states[dest] = (state, self.now + 500.0 + self.rng.f64() * 6000.0);
+            self.states[destination] = (state, self.now + 500.0 + self.rng.f64() * 6000.0);
         }
         if self.rng.f64() < 0.003 {
-            self.busy = self.rng.f64() * self.rng.f64() * 12.0;
+            self.load = self.rng.f64() * self.rng.f64() * 12.0;
         }
-        let count = (self.busy * 2.0 * self.rng.f64()) as usize;
+        let count = (self.load * 2.0 * self.rng.f64()) as usize;
         (0..count).for_each(|_| events.push(self.request()));
         if self.rng.f64() < 0.01 {
-            events.push(self.news());
+            events.push(self.list_update());
         }
         if self.rng.f64() < 0.02 && !self.open.is_empty() {
-            let at = self.rng.usize(0..self.open.len());
-            let id = self.open[at];
+            let index = self.rng.usize(0..self.open.len());
+            let id = self.open[index];
             events.push(if self.rng.bool() {
                 Event::Withdrawn { id }
             } else {
                 Event::ResponseStarted { id, attempt: 0 }
             });
         }
-        let (over, flying) = std::mem::take(&mut self.flying).into_iter().partition(|f| f.until <= self.now);
-        self.flying = flying;
-        for Flying { id, attempt, sent, outcome, wait_ms, .. } in over {
-            let (settled, took_ms, report) = (outcome == Outcome::Delivered, self.now - sent, self.report());
+        let (ended_calls, in_flight) =
+            std::mem::take(&mut self.in_flight).into_iter().partition(|f| f.ends_at <= self.now);
+        self.in_flight = in_flight;
+        for InFlightCall { id, attempt, sent_at, outcome, wait_ms, .. } in ended_calls {
+            let (settled, took_ms, report) =
+                (outcome == Outcome::Delivered, self.now - sent_at, self.report());
             events.push(Event::Ended { id, attempt, outcome, took_ms, settled, wait_ms, report });
         }
-        let (over, probes) = std::mem::take(&mut self.probes).into_iter().partition(|p| p.1 <= self.now);
+        let (ended_probes, probes) =
+            std::mem::take(&mut self.probes).into_iter().partition(|p| p.1 <= self.now);
         self.probes = probes;
-        for (endpoint, _) in over {
+        for (endpoint, _) in ended_probes {
             let outcome = if self.rng.bool() { Outcome::Delivered } else { Outcome::TimedOut };
             events.push(Event::Probed { endpoint, outcome, took_ms: 20.0, report: self.report() });
         }
@@ -266,38 +282,42 @@
         events
     }
 
-    /// What the module wants done happens.
-    fn act(&mut self, actions: &[Action]) {
+    /// Carries out the actions of the module.
+    fn apply(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::Send { id, endpoint, timeout_ms, .. } => {
-                    let tries = self.tries.entry(*id).or_default();
-                    let attempt = *tries;
-                    *tries += 1;
-                    let dest =
+                    let attempts = self.attempts.entry(*id).or_default();
+                    let attempt = *attempts;
+                    *attempts += 1;
+                    let destination =
                         self.list.iter().find(|e| e.name == *endpoint).map_or(0, |e| e.destination as usize);
-                    let took = self.speeds[dest] * (0.5 + self.rng.f64());
-                    let time_out = timeout_ms.unwrap_or(8000.0);
-                    let (outcome, took, wait_ms) = match self.states[dest].0 {
-                        State::Errors(share) if self.rng.f64() < share => (Outcome::Error, took, 0.0),
-                        State::Full(wait) => (Outcome::Full, 10.0, wait),
-                        State::Silent => (Outcome::TimedOut, time_out, 0.0),
-                        State::Refused if self.rng.f64() < 0.2 => (Outcome::Broken, 30.0, 0.0),
-                        State::Refused => (Outcome::NoConnection, 1.0, 0.0),
+                    let took_ms = self.response_times[destination] * (0.5 + self.rng.f64());
+                    let timeout_ms = timeout_ms.unwrap_or(8000.0);
+                    let (outcome, took_ms, wait_ms) = match self.states[destination].0 {
+                        DestinationState::Errors(share) if self.rng.f64() < share => {
+                            (Outcome::Error, took_ms, 0.0)
+                        }
+                        DestinationState::Full(wait) => (Outcome::Full, 10.0, wait),
+                        DestinationState::Silent => (Outcome::TimedOut, timeout_ms, 0.0),
+                        DestinationState::ConnectionsFail if self.rng.f64() < 0.2 => {
+                            (Outcome::Broken, 30.0, 0.0)
+                        }
+                        DestinationState::ConnectionsFail => (Outcome::NoConnection, 1.0, 0.0),
                         _ if self.rng.f64() < 0.01 => (Outcome::Stale, 1.0, 0.0),
                         _ if self.rng.f64() < 0.01 => (Outcome::NotSent, 1.0, 0.0),
-                        _ if self.rng.f64() < 0.01 => (Outcome::TimedOut, time_out, 0.0),
-                        _ if took > time_out => (Outcome::TimedOut, time_out, 0.0),
-                        _ => (Outcome::Delivered, took, 0.0),
+                        _ if self.rng.f64() < 0.01 => (Outcome::TimedOut, timeout_ms, 0.0),
+                        _ if took_ms > timeout_ms => (Outcome::TimedOut, timeout_ms, 0.0),
+                        _ => (Outcome::Delivered, took_ms, 0.0),
                     };
-                    let (id, sent, until) = (*id, self.now, self.now + took);
-                    self.flying.push(Flying { id, attempt, sent, until, outcome, wait_ms });
+                    let (id, sent_at, ends_at) = (*id, self.now, self.now + took_ms);
+                    self.in_flight.push(InFlightCall { id, attempt, sent_at, ends_at, outcome, wait_ms });
                 }
                 Action::Cancel { id, attempt } => {
-                    let found = self.flying.iter_mut().find(|f| f.id == *id && f.attempt == *attempt);
-                    found
+                    let cancelled = self.in_flight.iter_mut().find(|f| f.id == *id && f.attempt == *attempt);
+                    cancelled
                         .into_iter()
-                        .for_each(|f| (f.outcome, f.until) = (Outcome::Cancelled, self.now + 1.0));
+                        .for_each(|f| (f.outcome, f.ends_at) = (Outcome::Cancelled, self.now + 1.0));
                 }
                 Action::Probe { endpoint } => self.probes.push((endpoint.clone(), self.now + 60.0)),
                 Action::Timer { at, .. } => self.timer = self.timer.min(*at),
@@ -308,18 +328,20 @@
     }
 }
 
-/// What happened in a stream: sends, cancels, refusals, failures, probes, outages; and a digest of the order.
+/// Summary of a module's decisions on a stream.
 #[derive(Default)]
-struct Seen {
+struct Decisions {
+    /// Sends, cancels, refusals, failures, probes and outages.
     counts: [usize; 6],
+    /// Digest of these actions in their order.
     digest: u64,
 }
 
-impl Seen {
-    /// FNV-1a over what a partner or client would see; times are left out, as they may differ in their last bit from
-    /// one mathematical library to the next.
-    fn see(&mut self, action: &Action) {
-        let (at, words) = match action {
+impl Decisions {
+    /// Counts an action and adds it to the digest: FNV-1a over what a partner or client sees. Times are left
+    /// out, as their last bit may differ between mathematical libraries.
+    fn record(&mut self, action: &Action) {
+        let (index, text) = match action {
             Action::Send { id, endpoint, .. } => (0, format!("S{id}{endpoint}")),
             Action::Cancel { id, attempt } => (1, format!("C{id}.{attempt}")),
             Action::Refuse { id, .. } => (2, format!("R{id}")),
@@ -328,244 +350,271 @@
             Action::Log(text) if text.contains("out:") => (5, text.clone()),
             _ => return,
         };
-        self.counts[at] += 1;
-        self.digest =
-            words.bytes().fold(self.digest, |d, b| (d ^ u64::from(b)).wrapping_mul(0x100_0000_01b3));
+        self.counts[index] += 1;
+        self.digest = text.bytes().fold(self.digest, |d, b| (d ^ u64::from(b)).wrapping_mul(0x100_0000_01b3));
     }
 }
 
-/// How much of the list the module is told.
+/// Which updates of the list the module gets.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Knows {
-    /// All of it, as it comes.
-    All,
-    /// All of it, news as what differs.
-    Differences,
-    /// A destination's hosts from its first message on.
-    Used,
-    /// The same, and it is asked to forget destinations again and again.
-    Forgets,
+enum ListScope {
+    /// All updates unchanged.
+    Everything,
+    /// All hosts, each update as a delta.
+    Deltas,
+    /// The hosts of a destination from its first message on.
+    ActiveDestinations,
+    /// As before, and the module is asked again and again to forget destinations.
+    ActiveWithEviction,
 }
 
-/// What the module knows of the list, where that is not all.
+/// The part of the list that the module has, for any [`ListScope`] but `Everything`.
 struct View {
-    knows: Knows,
+    scope: ListScope,
     rng: fastrand::Rng,
-    used: std::collections::BTreeSet<u64>,
+    active: std::collections::BTreeSet<u64>,
     hosts: std::collections::BTreeMap<String, Endpoint>,
-    /// Never forgotten.
+    /// Destinations that are never evicted.
     pinned: std::collections::BTreeSet<u64>,
-    forgotten: usize,
+    /// Number of times that a destination was evicted.
+    evictions: usize,
 }
 
 impl View {
-    fn new(knows: Knows, seed: u64) -> View {
-        let (used, hosts, pinned, forgotten) = Default::default();
-        View { knows, rng: fastrand::Rng::with_seed(!seed), used, hosts, pinned, forgotten }
+    fn new(scope: ListScope, seed: u64) -> View {
+        let (active, hosts, pinned, evictions) = Default::default();
+        View { scope, rng: fastrand::Rng::with_seed(!seed), active, hosts, pinned, evictions }
     }
 
-    /// What differs between the list and what is known of the destinations in use.
-    fn news(&mut self, world: &World) -> Vec<Endpoint> {
-        let listed = |name: &str| world.list.iter().any(|e| e.name == name);
-        let gone: Vec<String> = self.hosts.keys().filter(|name| !listed(name)).cloned().collect();
-        let gone = gone.iter().filter_map(|name| self.hosts.remove(name));
-        let mut news: Vec<Endpoint> =
-            gone.map(|e| Endpoint { status: EndpointStatus::Removed, ..e }).collect();
-        for e in world.list.iter().filter(|e| self.used.contains(&e.destination)) {
-            let same = self.hosts.get(&e.name).is_some_and(|k| (k.status, k.weight) == (e.status, e.weight));
-            if !same {
-                self.hosts.insert(e.name.clone(), e.clone());
-                news.push(e.clone());
+    /// Returns what differs between the list and the hosts known of the active destinations.
+    fn delta(&mut self, simulation: &Simulation) -> Vec<Endpoint> {
+        let listed = |name: &str| simulation.list.iter().any(|e| e.name == name);
+        let removed: Vec<String> = self.hosts.keys().filter(|name| !listed(name)).cloned().collect();
+        let removed = removed.iter().filter_map(|name| self.hosts.remove(name));
+        let mut delta: Vec<Endpoint> =
+            removed.map(|e| Endpoint { status: EndpointStatus::Removed, ..e }).collect();
+        for endpoint in simulation.list.iter().filter(|e| self.active.contains(&e.destination)) {
+            let is_unchanged = self
+                .hosts
+                .get(&endpoint.name)
+                .is_some_and(|k| (k.status, k.weight) == (endpoint.status, endpoint.weight));
+            if !is_unchanged {
+                self.hosts.insert(endpoint.name.clone(), endpoint.clone());
+                delta.push(endpoint.clone());
             }
         }
-        news
+        delta
     }
 
-    /// The events as the module is told them.
-    fn tell(&mut self, world: &World, events: Vec<Event>) -> Vec<Event> {
-        match self.knows {
-            Knows::All => return events,
-            Knows::Differences => self.used.extend(0..world.states.len() as u64),
-            Knows::Used | Knows::Forgets => {}
+    /// Returns the events that the module gets in place of `events`.
+    fn filter_events(&mut self, simulation: &Simulation, events: Vec<Event>) -> Vec<Event> {
+        match self.scope {
+            ListScope::Everything => return events,
+            ListScope::Deltas => self.active.extend(0..simulation.states.len() as u64),
+            ListScope::ActiveDestinations | ListScope::ActiveWithEviction => {}
         }
-        let mut told = Vec::new();
+        let mut filtered = Vec::new();
         for event in events {
             if let Event::Restored { first_uncertain_send: Some((_, host)), .. } = &event {
-                // This world restores messages that went to hosts of other destinations: those have to be known as well.
-                let of = world.list.iter().find(|e| e.name == *host).map(|e| e.destination);
-                self.pinned.extend(of);
-                self.used.extend(of);
-                told.push(Event::ListUpdate(ListUpdate::Cached(self.news(world))));
+                // The simulation also restores messages that went to hosts of other destinations. The module
+                // needs to have these as well.
+                let destination = simulation.list.iter().find(|e| e.name == *host).map(|e| e.destination);
+                self.pinned.extend(destination);
+                self.active.extend(destination);
+                filtered.push(Event::ListUpdate(ListUpdate::Cached(self.delta(simulation))));
             }
             match &event {
                 Event::ListUpdate(ListUpdate::Failed) => {}
-                Event::ListUpdate(news) => {
-                    let changes = self.news(world);
-                    told.push(Event::ListUpdate(match news {
+                Event::ListUpdate(update) => {
+                    let changes = self.delta(simulation);
+                    filtered.push(Event::ListUpdate(match update {
                         ListUpdate::Cached(_) => ListUpdate::Cached(changes),
                         _ => ListUpdate::Delta(changes),
                     }));
                     continue;
                 }
                 Event::Request { destination, .. } | Event::Restored { destination, .. }
-                    if self.used.insert(*destination) =>
+                    if self.active.insert(*destination) =>
                 {
-                    told.push(Event::ListUpdate(ListUpdate::Cached(self.news(world))));
+                    filtered.push(Event::ListUpdate(ListUpdate::Cached(self.delta(simulation))));
                 }
                 _ => {}
             }
-            told.push(event);
+            filtered.push(event);
         }
-        told
+        filtered
     }
 
-    /// The module forgets what it may of some destinations.
-    fn forget(&mut self, world: &World, module: &mut Relay) {
-        for dest in 0..world.states.len() as u64 {
-            let may = self.knows == Knows::Forgets && !self.pinned.contains(&dest);
-            if may && self.rng.u32(..4) == 0 {
-                if let Some(Ok(names)) = module.forget(world.now, dest) {
+    /// Asks the module to forget some destinations.
+    fn evict(&mut self, simulation: &Simulation, module: &mut Relay) {
+        for destination in 0..simulation.states.len() as u64 {
+            let may_evict =
+                self.scope == ListScope::ActiveWithEviction && !self.pinned.contains(&destination);
+            if may_evict && self.rng.u32(..4) == 0 {
+                if let Some(Ok(names)) = module.forget(simulation.now, destination) {
                     names.iter().for_each(|name| drop(self.hosts.remove(&**name)));
-                    self.used.remove(&dest);
-                    self.forgotten += 1;
+                    self.active.remove(&destination);
+                    self.evictions += 1;
                 }
             }
         }
     }
 }
 
-/// Runs one stream, audited after each round.
-fn run(seed: u64, rounds: usize) -> Seen {
-    run_with(seed, rounds, Knows::All).0
+/// Runs one stream with an audit after each round.
+fn run(seed: u64, rounds: usize) -> Decisions {
+    run_with(seed, rounds, ListScope::Everything).0
 }
 
-/// The same with a module that knows less, and how often it has forgotten a destination.
-fn run_with(seed: u64, rounds: usize, knows: Knows) -> (Seen, usize) {
-    let mut world = World::new(seed);
-    let mut view = View::new(knows, seed);
-    let mut module = Relay::new(world.s.clone(), seed);
+/// As [`run`], with a module that gets the updates of `scope`; also returns how often a destination was
+/// evicted.
+fn run_with(seed: u64, rounds: usize, scope: ListScope) -> (Decisions, usize) {
+    let mut simulation = Simulation::new(seed);
+    let mut view = View::new(scope, seed);
+    let mut module = Relay::new(simulation.settings.clone(), seed);
+    // Endpoint by message id and attempts made.
     let mut sends: std::collections::BTreeMap<(u64, u32), String> = Default::default();
-    // Told waits, by lane.
-    let mut waits: std::collections::BTreeMap<(u64, String), f64> = Default::default();
-    let mut seen = Seen { digest: 0xcbf2_9ce4_8422_2325, ..Seen::default() };
+    // End of the last Retry-After of each endpoint group.
+    let mut retry_afters: std::collections::BTreeMap<(u64, String), f64> = Default::default();
+    let mut decisions = Decisions { digest: 0xcbf2_9ce4_8422_2325, ..Decisions::default() };
     for round in 0..rounds {
         let events = if round == 0 {
-            let mut events = vec![Event::ListUpdate(ListUpdate::Full(world.list.clone()))];
+            let mut events = vec![Event::ListUpdate(ListUpdate::Full(simulation.list.clone()))];
             let (destination, endpoint, rate_before) = (0, String::new(), 3.0);
             let recovered_at = Some(500.0).filter(|_| seed.is_multiple_of(2));
             events.push(Event::Outages(vec![Outage { destination, endpoint, recovered_at, rate_before }]));
-            (0..world.rng.usize(0..10)).for_each(|_| events.push(world.restored()));
+            (0..simulation.rng.usize(0..10)).for_each(|_| events.push(simulation.restored()));
             events
         } else {
-            world.events()
+            simulation.events()
         };
         let last = round + 40 == rounds && seed.is_multiple_of(3);
-        let stop = Event::Stopping { at: world.now + 700.0 };
+        let stop = Event::Stopping { at: simulation.now + 700.0 };
         let events = events.into_iter().chain(last.then_some(stop)).collect::<Vec<_>>();
-        world.stopping |= last;
+        simulation.stopping |= last;
         if events.is_empty() {
             continue;
         }
-        let events = view.tell(&world, events);
+        let events = view.filter_events(&simulation, events);
         let mut actions = Vec::new();
-        module.handle(world.now, &events, &mut actions);
-        for action in actions.iter().filter(|_| knows != Knows::All) {
+        module.handle(simulation.now, &events, &mut actions);
+        for action in actions.iter().filter(|_| scope != ListScope::Everything) {
             let Action::Send { id, endpoint, .. } = action else { continue };
-            let at = format!("seed {seed}, round {round}: {id} to {endpoint}");
-            let host = view.hosts.get(endpoint).unwrap_or_else(|| panic!("{at}, which is not known"));
-            assert_eq!(host.status, EndpointStatus::Active, "{at}");
-            let until = waits.get(&group(&world.s, host)).copied().unwrap_or(0.0);
-            assert!(until <= world.now, "{at}, which told to wait until {until}");
+            let place = format!("seed {seed}, round {round}: {id} to {endpoint}");
+            let host =
+                view.hosts.get(endpoint).unwrap_or_else(|| panic!("{place}, which the module does not have"));
+            assert_eq!(host.status, EndpointStatus::Active, "{place}, which is not active");
+            let until = retry_afters.get(&group(&simulation.settings, host)).copied().unwrap_or(0.0);
+            assert!(until <= simulation.now, "{place}, whose Retry-After ends at {until}");
         }
         for event in &events {
             if let Event::Ended { id, attempt, outcome: Outcome::Full, wait_ms, .. } = event {
                 let sent_to = sends.get(&(*id, *attempt)).and_then(|name| view.hosts.get(name));
                 if let Some(host) = sent_to {
-                    let wait = waits.entry(group(&world.s, host)).or_default();
-                    *wait = wait.max(world.now + wait_ms);
+                    let until = retry_afters.entry(group(&simulation.settings, host)).or_default();
+                    *until = until.max(simulation.now + wait_ms);
                 }
             }
         }
         for action in &actions {
             if let Action::Send { id, endpoint, .. } = action {
-                let attempt = world.tries.get(id).copied().unwrap_or(0);
+                let attempt = simulation.attempts.get(id).copied().unwrap_or(0);
                 sends.insert((*id, attempt), endpoint.clone());
             }
         }
-        view.forget(&world, &mut module);
-        if let Err(why) = module.audit() {
-            panic!("seed {seed}, round {round} at {}: {why}; after {events:#?}", world.now);
+        view.evict(&simulation, &mut module);
+        if let Err(error) = module.audit() {
+            panic!(
+                "seed {seed}, round {round} at {} ms: audit failed: {error}; after {events:#?}",
+                simulation.now
+            );
         }
-        world.act(&actions);
-        actions.iter().for_each(|a| seen.see(a));
+        simulation.apply(&actions);
+        actions.iter().for_each(|a| decisions.record(a));
     }
-    (seen, view.forgotten)
+    (decisions, view.evictions)
 }
 
-fn group(s: &Settings, e: &Endpoint) -> (u64, String) {
-    let own_limits = s.own_limits.get(e.kind).copied().unwrap_or(false);
-    (e.destination, if own_limits { e.name.clone() } else { String::new() })
+/// Returns the key of an endpoint's group: the destination, and the endpoint where it has limits of its own.
+fn group(settings: &Settings, endpoint: &Endpoint) -> (u64, String) {
+    let own_limits = settings.own_limits.get(endpoint.kind).copied().unwrap_or(false);
+    (endpoint.destination, if own_limits { endpoint.name.clone() } else { String::new() })
 }
 
-/// A module that hears of a destination's hosts with its first message does the same as one that knew all from the start.
+/// Guards against decisions that depend on unused hosts: a module that gets a destination's hosts with its
+/// first message decides the same as one that has had all hosts from the start.
 #[test]
-fn a_module_that_is_told_of_what_is_used_alone_decides_the_same() {
+fn decisions_are_the_same_with_hosts_of_active_destinations_only() {
     for seed in 2000..2040 {
-        let all = run_with(seed, 500, Knows::Differences).0;
-        let used = run_with(seed, 500, Knows::Used).0;
-        assert_eq!((all.counts, all.digest), (used.counts, used.digest), "seed {seed}");
+        let everything = run_with(seed, 500, ListScope::Deltas).0;
+        let active_only = run_with(seed, 500, ListScope::ActiveDestinations).0;
+        assert_eq!(
+            (everything.counts, everything.digest),
+            (active_only.counts, active_only.digest),
+            "decisions differ with seed {seed}"
+        );
     }
 }
 
-/// Nothing binding is lost by forgetting: every round stands up to the audit, nothing goes where it may not, by what is listed
-/// and by waits that were told, and as much is sent and given up as before, within what is measured anew each time.
+/// Guards against state in force that is lost when destinations are evicted: every round passes the audit,
+/// nothing is sent to an endpoint that is not active or before the end of a Retry-After, and about as much is
+/// sent and given up as without eviction. Small differences come from values that have to be measured again.
 #[test]
-fn a_module_that_forgets_again_and_again_keeps_the_rules() {
-    let (mut all, mut forgets, mut forgotten) = ([0; 6], [0; 6], 0);
+fn a_module_that_evicts_destinations_keeps_the_delivery_rules() {
+    let (mut without_eviction, mut with_eviction, mut evictions) = ([0; 6], [0; 6], 0);
     for seed in 3000..3040 {
-        let (seen, times) = run_with(seed, 800, Knows::Forgets);
-        forgotten += times;
-        let known = run_with(seed, 800, Knows::Differences).0;
-        all.iter_mut().zip(known.counts).for_each(|(sum, n)| *sum += n);
-        forgets.iter_mut().zip(seen.counts).for_each(|(sum, n)| *sum += n);
+        let (decisions, eviction_count) = run_with(seed, 800, ListScope::ActiveWithEviction);
+        evictions += eviction_count;
+        let baseline = run_with(seed, 800, ListScope::Deltas).0;
+        without_eviction.iter_mut().zip(baseline.counts).for_each(|(sum, n)| *sum += n);
+        with_eviction.iter_mut().zip(decisions.counts).for_each(|(sum, n)| *sum += n);
     }
-    println!("forgotten {forgotten} times; {all:?} without and {forgets:?} with it");
-    assert!(forgotten > 300, "{forgotten}");
-    // Fewer calls are called off, as these go by a latency that was measured.
-    for (n, (all, forgets)) in all.iter().zip(forgets).enumerate().filter(|x| x.0 != 1) {
-        let (low, high) = (*all as f64 * 0.8, *all as f64 * 1.25);
-        assert!((low..high).contains(&(forgets as f64)), "count {n}: {all} and {forgets}");
+    println!("{evictions} evictions; {without_eviction:?} without and {with_eviction:?} with eviction");
+    assert!(evictions > 300, "only {evictions} evictions");
+    // Cancels are not compared: they depend on a measured latency, so there are fewer with eviction.
+    for (index, (without, with)) in
+        without_eviction.iter().zip(with_eviction).enumerate().filter(|x| x.0 != 1)
+    {
+        let (low, high) = (*without as f64 * 0.8, *without as f64 * 1.25);
+        assert!(
+            (low..high).contains(&(with as f64)),
+            "count {index}: {without} without and {with} with eviction"
+        );
     }
 }
 
+/// Guards against internal state that becomes inconsistent under any mix of events.
 #[test]
-fn every_round_of_random_streams_stands_up_to_an_audit() {
-    let mut all = [0; 6];
-    // LINENHALL_SEEDS gives the number of streams for a long search.
+fn every_round_of_random_streams_passes_the_audit() {
+    let mut totals = [0; 6];
+    // LINENHALL_SEEDS sets the number of streams for a long search.
     let seeds = std::env::var("LINENHALL_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(60);
     for seed in 0..seeds {
-        for (sum, n) in all.iter_mut().zip(run(seed, 800).counts) {
+        for (sum, n) in totals.iter_mut().zip(run(seed, 800).counts) {
             *sum += n;
         }
     }
-    println!("sends, cancels, refusals, failures, probes, outages: {all:?}");
-    let least = [10_000, 100, 1000, 100, 100, 100];
-    assert!(all.iter().zip(least).all(|(n, least)| *n >= least), "the streams have become tame: {all:?}");
+    println!("sends, cancels, refusals, failures, probes, outages: {totals:?}");
+    let minimum = [10_000, 100, 1000, 100, 100, 100];
+    assert!(
+        totals.iter().zip(minimum).all(|(n, minimum)| *n >= minimum),
+        "the streams exercise too little: {totals:?}"
+    );
 }
 
-/// A decision that is changed on purpose is recorded anew: `LINENHALL_RECORD=1 cargo test -p linenhall --test streams`,
-/// and the difference goes in with the change.
+/// Guards against unintended changes of decisions. After an intended change record them again with
+/// `LINENHALL_RECORD=1 cargo test -p linenhall --test streams` and commit the difference with the change.
 #[test]
-fn decisions_on_recorded_streams_have_not_changed_unasked() {
-    let mut now = String::from("# seed: sends, cancels, refusals, failures, probes, outages; digest\n");
+fn decisions_on_recorded_streams_are_unchanged() {
+    let mut current = String::from("# seed: sends, cancels, refusals, failures, probes, outages; digest\n");
     for seed in 1000..1012 {
-        let Seen { counts, digest } = run(seed, 600);
-        writeln!(now, "{seed}: {counts:?} {digest:016x}").expect("a string takes it");
+        let Decisions { counts, digest } = run(seed, 600);
+        writeln!(current, "{seed}: {counts:?} {digest:016x}").expect("writing to a string failed");
     }
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/recorded/streams.txt");
     if std::env::var_os("LINENHALL_RECORD").is_some() {
-        std::fs::write(file, &now).expect("the record can be written");
+        std::fs::write(file, &current).expect("the recorded streams were not written");
     }
-    let recorded = std::fs::read_to_string(file).expect("the record stands beside the test");
-    assert_eq!(now, recorded, "see the test's own words");
+    let recorded = std::fs::read_to_string(file).expect("the recorded streams were not read");
+    assert_eq!(current, recorded, "decisions differ from the recorded ones; see the comment on this test");
 }
