--- a/crates/account/src/lib.rs
+++ b/crates/account/src/lib.rs
@@ -1,8 +1,8 @@
-//! Where a relay's slots and its messages' time went, from the events and actions of the decision module alone. It
-//! does no I/O; times are milliseconds of the module's clock.
+//! Accounts for the use of a relay's slots and the waiting time of its messages, from the events and actions
+//! of the decision module alone. It does no I/O; times are milliseconds of the module's clock.
 //!
-//! [`Account`] is shown each round of the module; [`UsageReport`] is what it has booked since it was last asked. Sheets of
-//! several spans, processes and relays add up.
+//! [`Account`] records each round of the module; [`UsageReport`] is what it has recorded since the last
+//! report. Reports of several periods, processes and relays can be added up.
 #![warn(missing_docs)]
 
 mod account;
--- a/crates/account/src/usage_report.rs
+++ b/crates/account/src/usage_report.rs
@@ -1,4 +1,4 @@
-//! What is booked, and how it reads.
+//! The usage report and its text form.
 
 use linenhall::WaitReason;
 use serde::{Deserialize, Serialize};
@@ -10,38 +10,38 @@
 pub enum CallOutcome {
     /// Delivered within the class's aim.
     InTime,
-    /// Delivered after it.
+    /// Delivered after the class's aim.
     Late,
-    /// An error was answered.
+    /// Answered with an error.
     Error,
-    /// Turned away unheard.
+    /// Turned away without being processed.
     Full,
-    /// No answer in its time.
+    /// No answer before the time-out.
     TimedOut,
-    /// Called off by the module.
+    /// Cancelled by the decision module.
     CalledOff,
-    /// It never had a connection.
+    /// No connection could be opened.
     NoConnection,
-    /// The connection broke under it.
+    /// The connection broke during the call.
     Broken,
-    /// A kept connection was dead under it.
+    /// A reused connection turned out to be closed.
     Stale,
-    /// It was not sent.
+    /// Never sent.
     NotSent,
-    /// Out when the span's process ended or was taken over from.
+    /// In flight when the process ended or handed over to another.
     PassedOn,
 }
 
-/// How a destination stood when a call went out.
+/// Health of an endpoint group when a call was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum HealthState {
-    /// Nothing is known against it.
+    /// Healthy.
     Well,
-    /// A call outruns its latency, or the last outcome failed.
+    /// Degraded: a call exceeds the usual latency, or the last call failed.
     Sick,
-    /// Single trials.
+    /// The breaker is open: single half-open trials only.
     Out,
-    /// Back, and perhaps cold.
+    /// Slow start after an outage, as the destination may be cold.
     Ramp,
 }
 
@@ -50,29 +50,29 @@
 pub enum MessageOutcome {
     /// Delivered within the class's aim.
     InTime,
-    /// Delivered after it.
+    /// Delivered after the class's aim.
     Late,
-    /// Refused or failed because its time, or the window in which it may be repeated, was over.
+    /// Refused or failed because its deadline or its dedup window had passed.
     TimeUp,
-    /// Refused to make room, as the hold was full.
+    /// Shed because the queue was full.
     HoldFull,
     /// Given up after a call that may have run, or after the last attempt.
     Spent,
-    /// Withdrawn, or over for another reason.
+    /// Withdrawn by the client, or ended for another reason.
     Withdrawn,
 }
 
-/// A count and its time.
+/// A count and a total time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CountAndTime {
-    /// How many.
+    /// The count.
     pub count: u64,
-    /// Milliseconds in all.
+    /// Total time in milliseconds.
     pub ms: f64,
 }
 
 impl CountAndTime {
-    pub(crate) fn book(&mut self, ms: f64) {
+    pub(crate) fn record(&mut self, ms: f64) {
         self.count += 1;
         self.ms += ms;
     }
@@ -83,50 +83,52 @@
     }
 }
 
-/// A message's end: class by index, how, and the bound under which it waited longest (`None`: it never waited).
+/// The end of a message: index of its class, outcome, and the reason for which it waited longest (`None`: it
+/// never waited).
 pub type MessageEndKey = (usize, MessageOutcome, Option<WaitReason>);
 
-/// What was booked in a span.
+/// What one or more relays used their slots for, and why messages waited, over a period of time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct UsageReport {
-    /// Length of the span, summed over relays.
+    /// Length of the period, summed over relays.
     pub span_ms: f64,
-    /// Slots times time.
+    /// Number of slots multiplied by the time.
     pub slot_ms: f64,
-    /// Calls by destination, class, the destination's state when they went out, and how they ended. The time is that of their slot.
+    /// Calls by destination, class, the health of the endpoint group at the send, and outcome, with the time
+    /// for which they held their slot.
     #[serde(with = "rows")]
     pub calls: BTreeMap<(u64, usize, HealthState, CallOutcome), CountAndTime>,
-    /// Message-time in the hold, by destination and by what held it.
+    /// Time that messages spent in the queue, summed over messages, by destination and wait reason.
     #[serde(with = "rows")]
     pub held: BTreeMap<(u64, WaitReason), f64>,
-    /// Messages by destination and end.
+    /// Number of messages by destination and end.
     #[serde(with = "rows")]
     pub ends: BTreeMap<(u64, MessageEndKey), u64>,
-    /// Spans between rounds: with all slots taken while something waited, and all of them.
+    /// Time for which all slots were taken while messages waited, summed over relays.
     pub full_ms: f64,
 }
 
-/// Maps as lists of rows: keys of several parts have no form in JSON.
+/// Serializes maps as lists of rows, as JSON has no keys of several parts.
 mod rows {
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
     use std::collections::BTreeMap;
 
     pub fn serialize<K: Serialize, V: Serialize, S: Serializer>(
-        map: &BTreeMap<K, V>, s: S,
+        map: &BTreeMap<K, V>, serializer: S,
     ) -> Result<S::Ok, S::Error> {
-        s.collect_seq(map)
+        serializer.collect_seq(map)
     }
 
     pub fn deserialize<'de, K: Deserialize<'de> + Ord, V: Deserialize<'de>, D: Deserializer<'de>>(
-        d: D,
+        deserializer: D,
     ) -> Result<BTreeMap<K, V>, D::Error> {
-        Ok(Vec::<(K, V)>::deserialize(d)?.into_iter().collect())
+        Ok(Vec::<(K, V)>::deserialize(deserializer)?.into_iter().collect())
     }
 }
 
 impl UsageReport {
-    /// Adds another span's, process's or relay's.
+    /// Adds the report of another period, process or relay.
     pub fn add(&mut self, other: &UsageReport) {
         self.span_ms += other.span_ms;
         self.slot_ms += other.slot_ms;
@@ -136,131 +138,144 @@
         other.ends.iter().for_each(|(k, v)| *self.ends.entry(*k).or_default() += v);
     }
 
-    /// Calls by how they ended.
-    pub fn by_end(&self) -> BTreeMap<CallOutcome, CountAndTime> {
+    /// Returns the calls by outcome.
+    pub fn calls_by_outcome(&self) -> BTreeMap<CallOutcome, CountAndTime> {
         let mut sums = BTreeMap::<CallOutcome, CountAndTime>::new();
-        self.calls.iter().for_each(|((_, _, _, end), spent)| sums.entry(*end).or_default().add(*spent));
+        self.calls.iter().for_each(|((_, _, _, outcome), used)| sums.entry(*outcome).or_default().add(*used));
         sums
     }
 
-    /// Messages by how they ended.
-    pub fn by_verdict(&self) -> BTreeMap<MessageOutcome, u64> {
+    /// Returns the number of messages by outcome.
+    pub fn messages_by_outcome(&self) -> BTreeMap<MessageOutcome, u64> {
         let mut sums = BTreeMap::new();
         self.ends.iter().for_each(|((_, (_, v, _)), n)| *sums.entry(*v).or_default() += n);
         sums
     }
 
-    /// Messages that were neither delivered nor withdrawn, by what held them longest.
-    pub fn lost_by_bound(&self) -> BTreeMap<Option<WaitReason>, u64> {
+    /// Returns the number of messages that were neither delivered nor withdrawn, by the reason for which they
+    /// waited longest.
+    pub fn lost_by_wait_reason(&self) -> BTreeMap<Option<WaitReason>, u64> {
         let lost = [MessageOutcome::TimeUp, MessageOutcome::HoldFull, MessageOutcome::Spent];
         let mut sums = BTreeMap::new();
         let rows = self.ends.iter().filter(|((_, (_, v, _)), _)| lost.contains(v));
-        rows.for_each(|((_, (_, _, bound)), n)| *sums.entry(*bound).or_default() += n);
+        rows.for_each(|((_, (_, _, reason)), n)| *sums.entry(*reason).or_default() += n);
         sums
     }
 }
 
 impl fmt::Display for UsageReport {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let part = |ms: f64| 100.0 * ms / self.slot_ms.max(1.0);
+        let percent_of_slots = |ms: f64| 100.0 * ms / self.slot_ms.max(1.0);
         let used: f64 = self.calls.values().map(|s| s.ms).sum();
         writeln!(
             f,
             "{:.1} s of relays; slots used {:.0}%, all taken with something waiting {:.0}% of the time",
             self.span_ms / 1000.0,
-            part(used),
+            percent_of_slots(used),
             100.0 * self.full_ms / self.span_ms.max(1.0)
         )?;
         writeln!(f, "calls by end:        count   slot-s   % of slots")?;
-        for (end, s) in self.by_end() {
-            let name = format!("{end:?}");
-            writeln!(f, "  {name:<16} {:>8} {:>8.1} {:>8.1}", s.count, s.ms / 1000.0, part(s.ms))?;
+        for (outcome, used) in self.calls_by_outcome() {
+            let name = format!("{outcome:?}");
+            writeln!(
+                f,
+                "  {name:<16} {:>8} {:>8.1} {:>8.1}",
+                used.count,
+                used.ms / 1000.0,
+                percent_of_slots(used.ms)
+            )?;
         }
         writeln!(f, "calls by state:      count   slot-s   delivered")?;
         let mut states = BTreeMap::<HealthState, (CountAndTime, u64)>::new();
-        for ((_, _, state, end), s) in &self.calls {
+        for ((_, _, state, outcome), used) in &self.calls {
             let row = states.entry(*state).or_default();
-            row.0.add(*s);
-            row.1 += if matches!(end, CallOutcome::InTime | CallOutcome::Late) { s.count } else { 0 };
+            row.0.add(*used);
+            row.1 += if matches!(outcome, CallOutcome::InTime | CallOutcome::Late) { used.count } else { 0 };
         }
-        for (state, (s, good)) in states {
+        for (state, (used, delivered)) in states {
             let name = format!("{state:?}");
-            writeln!(f, "  {name:<16} {:>8} {:>8.1} {good:>8}", s.count, s.ms / 1000.0)?;
+            writeln!(f, "  {name:<16} {:>8} {:>8.1} {delivered:>8}", used.count, used.ms / 1000.0)?;
         }
         writeln!(f, "messages by end:")?;
-        for (verdict, n) in self.by_verdict() {
-            writeln!(f, "  {:<16} {n:>8}", format!("{verdict:?}"))?;
+        for (outcome, count) in self.messages_by_outcome() {
+            writeln!(f, "  {:<16} {count:>8}", format!("{outcome:?}"))?;
         }
         writeln!(f, "classes: calls delivered (slot-s), other calls (slot-s); messages by end")?;
         let classes: BTreeSet<usize> = self.ends.keys().map(|(_, (class, ..))| *class).collect();
         for class in classes {
-            let (mut good, mut bad, mut ends) =
+            let (mut delivered, mut other, mut ends) =
                 (CountAndTime::default(), CountAndTime::default(), BTreeMap::new());
-            for ((_, _, _, end), s) in self.calls.iter().filter(|x| x.0 .1 == class) {
-                if matches!(end, CallOutcome::InTime | CallOutcome::Late) { &mut good } else { &mut bad }
-                    .add(*s);
+            for ((_, _, _, outcome), used) in self.calls.iter().filter(|x| x.0 .1 == class) {
+                if matches!(outcome, CallOutcome::InTime | CallOutcome::Late) {
+                    &mut delivered
+                } else {
+                    &mut other
+                }
+                .add(*used);
             }
-            for ((_, (_, v, _)), n) in self.ends.iter().filter(|x| x.0 .1 .0 == class) {
-                *ends.entry(*v).or_insert(0) += n;
+            for ((_, (_, outcome, _)), count) in self.ends.iter().filter(|x| x.0 .1 .0 == class) {
+                *ends.entry(*outcome).or_insert(0) += count;
             }
-            let (good_s, bad_s) = (good.ms / 1000.0, bad.ms / 1000.0);
+            let (delivered_s, other_s) = (delivered.ms / 1000.0, other.ms / 1000.0);
             writeln!(
                 f,
-                "  {class:>4} {:>6} ({good_s:>5.1}) {:>6} ({bad_s:>5.1})  {ends:?}",
-                good.count, bad.count
+                "  {class:>4} {:>6} ({delivered_s:>5.1}) {:>6} ({other_s:>5.1})  {ends:?}",
+                delivered.count, other.count
             )?;
         }
         writeln!(f, "lost messages by what held them longest:")?;
-        for (bound, n) in self.lost_by_bound() {
-            writeln!(f, "  {:<16} {n:>8}", bound.map_or("nothing".into(), |b| format!("{b:?}")))?;
+        for (reason, count) in self.lost_by_wait_reason() {
+            writeln!(f, "  {:<16} {count:>8}", reason.map_or("nothing".into(), |b| format!("{b:?}")))?;
         }
         self.destinations(f)
     }
 }
 
 impl UsageReport {
+    /// Writes the table of the twelve destinations with most lost messages.
     fn destinations(&self, f: &mut fmt::Formatter) -> fmt::Result {
         #[derive(Default)]
         struct Row {
-            good: CountAndTime,
-            bad: CountAndTime,
+            delivered: CountAndTime,
+            other: CountAndTime,
             lost: u64,
-            held: BTreeMap<WaitReason, f64>,
+            queued: BTreeMap<WaitReason, f64>,
         }
         let mut rows = BTreeMap::<u64, Row>::new();
-        for ((dest, _, _, end), s) in &self.calls {
-            let row = rows.entry(*dest).or_default();
-            match end {
-                CallOutcome::InTime | CallOutcome::Late => row.good.add(*s),
-                _ => row.bad.add(*s),
+        for ((destination, _, _, outcome), used) in &self.calls {
+            let row = rows.entry(*destination).or_default();
+            match outcome {
+                CallOutcome::InTime | CallOutcome::Late => row.delivered.add(*used),
+                _ => row.other.add(*used),
             }
         }
-        for ((dest, (_, v, _)), n) in &self.ends {
-            let lost = matches!(v, MessageOutcome::TimeUp | MessageOutcome::HoldFull | MessageOutcome::Spent);
-            rows.entry(*dest).or_default().lost += if lost { *n } else { 0 };
+        for ((destination, (_, outcome, _)), count) in &self.ends {
+            let lost =
+                matches!(outcome, MessageOutcome::TimeUp | MessageOutcome::HoldFull | MessageOutcome::Spent);
+            rows.entry(*destination).or_default().lost += if lost { *count } else { 0 };
         }
-        for ((dest, bound), ms) in &self.held {
-            *rows.entry(*dest).or_default().held.entry(*bound).or_default() += ms;
+        for ((destination, reason), ms) in &self.held {
+            *rows.entry(*destination).or_default().queued.entry(*reason).or_default() += ms;
         }
         let mut rows: Vec<_> = rows.into_iter().collect();
-        rows.sort_by_key(|x| std::cmp::Reverse((x.1.lost, x.1.bad.count)));
+        rows.sort_by_key(|x| std::cmp::Reverse((x.1.lost, x.1.other.count)));
         writeln!(
             f,
             "destinations, most lost first: delivered (slot-s), other calls (slot-s), lost, message-s held"
         )?;
-        for (dest, row) in rows.iter().take(12) {
-            let mut held: Vec<_> = row.held.iter().collect();
-            held.sort_by(|a, b| b.1.total_cmp(a.1));
-            let held = held.iter().take(4).map(|(b, ms)| format!("{b:?} {:.0}", **ms / 1000.0));
+        for (destination, row) in rows.iter().take(12) {
+            let mut queued: Vec<_> = row.queued.iter().collect();
+            queued.sort_by(|a, b| b.1.total_cmp(a.1));
+            let queued = queued.iter().take(4).map(|(b, ms)| format!("{b:?} {:.0}", **ms / 1000.0));
             writeln!(
                 f,
-                "  {dest:>4} {:>6} ({:>5.1}) {:>6} ({:>5.1}) {:>6}  {}",
-                row.good.count,
-                row.good.ms / 1000.0,
-                row.bad.count,
-                row.bad.ms / 1000.0,
+                "  {destination:>4} {:>6} ({:>5.1}) {:>6} ({:>5.1}) {:>6}  {}",
+                row.delivered.count,
+                row.delivered.ms / 1000.0,
+                row.other.count,
+                row.other.ms / 1000.0,
                 row.lost,
-                held.collect::<Vec<_>>().join(", ")
+                queued.collect::<Vec<_>>().join(", ")
             )?;
         }
         Ok(())
--- a/crates/account/tests/account.rs
+++ b/crates/account/tests/account.rs
@@ -1,12 +1,12 @@
-//! The books on a relay driven by hand: what slots were spent on, what held a message, how it ended.
+//! Accounting of a relay with a manual clock: what slots are used for, why messages wait, and how they end.
 use linenhall::*;
 use mulleinslip_account::{Account, CallOutcome, HealthState, MessageOutcome, UsageReport};
 
-struct Rig {
+struct Harness {
     relay: Relay,
     account: Account,
     now: f64,
-    next: u64,
+    last_id: u64,
 }
 
 fn settings() -> Settings {
@@ -37,10 +37,10 @@
     }
 }
 
-impl Rig {
-    fn new(s: Settings) -> Rig {
-        let account = Account::new(&s);
-        let mut rig = Rig { relay: Relay::new(s, 1), account, now: 1000.0, next: 0 };
+impl Harness {
+    fn new(settings: Settings) -> Harness {
+        let account = Account::new(&settings);
+        let mut harness = Harness { relay: Relay::new(settings, 1), account, now: 1000.0, last_id: 0 };
         let host = |n: u64| Endpoint {
             name: format!("h{n}"),
             destination: n,
@@ -49,173 +49,226 @@
             weight: 1.0,
             status: EndpointStatus::Active,
         };
-        rig.give(Event::ListUpdate(ListUpdate::Full(vec![host(0), host(1)])));
-        rig
+        harness.handle(Event::ListUpdate(ListUpdate::Full(vec![host(0), host(1)])));
+        harness
     }
 
-    fn give(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.relay.handle(self.now, std::slice::from_ref(&event), &mut out);
-        self.account.round(self.now, &[event], &out, &self.relay);
-        out
+    /// Handles one event, records the round and returns the actions.
+    fn handle(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.relay.handle(self.now, std::slice::from_ref(&event), &mut actions);
+        self.account.round(self.now, &[event], &actions, &self.relay);
+        actions
     }
 
-    fn wait(&mut self, ms: f64) {
+    /// Advances the clock by `ms` in steps of 10 ms, with a timer event at each.
+    fn advance(&mut self, ms: f64) {
         for _ in 0..(ms / 10.0) as usize {
             self.now += 10.0;
-            self.give(Event::Timer { token: 0 });
+            self.handle(Event::Timer { token: 0 });
         }
     }
 
-    fn ask(&mut self, destination: u64) -> u64 {
-        self.next += 1;
-        let (id, due) = (self.next, self.now + 4000.0);
-        self.give(Event::Request { id, class: 0, tenant: 0, key: None, due, destination });
+    /// Submits a message and returns its id.
+    fn submit(&mut self, destination: u64) -> u64 {
+        self.last_id += 1;
+        let (id, due) = (self.last_id, self.now + 4000.0);
+        self.handle(Event::Request { id, class: 0, tenant: 0, key: None, due, destination });
         id
     }
 
-    fn end(&mut self, id: u64, attempt: u32, outcome: Outcome, wait_ms: f64) {
+    /// Ends an attempt.
+    fn end_attempt(&mut self, id: u64, attempt: u32, outcome: Outcome, wait_ms: f64) {
         let settled = outcome == Outcome::Delivered;
         let (took_ms, report) = (0.0, Vec::new());
-        self.give(Event::Ended { id, attempt, outcome, took_ms, settled, wait_ms, report });
+        self.handle(Event::Ended { id, attempt, outcome, took_ms, settled, wait_ms, report });
     }
 }
 
+/// Guards against slot time that is recorded under a wrong outcome, or twice.
 #[test]
-fn slot_time_goes_to_how_each_call_ended() {
-    let mut rig = Rig::new(settings());
-    let (a, b) = (rig.ask(0), rig.ask(1));
-    rig.wait(100.0);
-    rig.end(a, 0, Outcome::Delivered, 0.0);
-    rig.wait(500.0);
-    rig.end(b, 0, Outcome::Delivered, 0.0);
-    let c = rig.ask(0);
-    rig.wait(50.0);
-    rig.end(c, 0, Outcome::Error, 0.0);
-    rig.wait(30.0);
-    let usage_report = rig.account.take(rig.now, false);
-    let ends = usage_report.by_end();
-    assert_eq!((ends[&CallOutcome::InTime].count, ends[&CallOutcome::InTime].ms), (1, 100.0));
+fn slot_time_is_recorded_by_call_outcome() {
+    let mut harness = Harness::new(settings());
+    let (a, b) = (harness.submit(0), harness.submit(1));
+    harness.advance(100.0);
+    harness.end_attempt(a, 0, Outcome::Delivered, 0.0);
+    harness.advance(500.0);
+    harness.end_attempt(b, 0, Outcome::Delivered, 0.0);
+    let c = harness.submit(0);
+    harness.advance(50.0);
+    harness.end_attempt(c, 0, Outcome::Error, 0.0);
+    harness.advance(30.0);
+    let usage_report = harness.account.take(harness.now, false);
+    let outcomes = usage_report.calls_by_outcome();
+    assert_eq!((outcomes[&CallOutcome::InTime].count, outcomes[&CallOutcome::InTime].ms), (1, 100.0));
     assert_eq!(
-        (ends[&CallOutcome::Late].count, ends[&CallOutcome::Late].ms),
+        (outcomes[&CallOutcome::Late].count, outcomes[&CallOutcome::Late].ms),
         (1, 600.0),
-        "its aim is 500 ms"
+        "a delivery after the aim of 500 ms is not recorded as late"
     );
-    assert_eq!((ends[&CallOutcome::Error].count, ends[&CallOutcome::Error].ms), (1, 50.0));
+    assert_eq!((outcomes[&CallOutcome::Error].count, outcomes[&CallOutcome::Error].ms), (1, 50.0));
     assert_eq!(usage_report.span_ms, 680.0);
-    assert_eq!(usage_report.slot_ms, 1360.0, "two slots");
-    assert_eq!(usage_report.by_verdict()[&MessageOutcome::InTime], 1);
-    assert_eq!(rig.account.take(rig.now, false), UsageReport::default(), "each is booked once");
+    assert_eq!(usage_report.slot_ms, 1360.0, "slot time is not twice the elapsed time with two slots");
+    assert_eq!(usage_report.messages_by_outcome()[&MessageOutcome::InTime], 1);
+    assert_eq!(
+        harness.account.take(harness.now, false),
+        UsageReport::default(),
+        "a second report contains what the first one did"
+    );
 }
 
-/// Among many relays three things keep a message back after a refusal, which one name hid: the quiet time, the bucket
-/// that the refusal emptied, and the pace itself.
+/// Where many relays share a destination, a message can wait for three reasons after a refusal: the backoff,
+/// the token bucket that the refusal emptied, and the rate limit. Guards against recording them under one
+/// reason.
 #[test]
-fn after_a_refusal_quiet_time_emptied_bucket_and_pace_are_told_apart() {
+fn waits_for_backoff_empty_token_bucket_and_rate_limit_are_recorded_separately() {
     let (remaining_column, limit_column) = (Some(0), Some(1));
-    let mut rig = Rig::new(Settings { relays: 100, remaining_column, limit_column, ..settings() });
-    let id = rig.ask(0);
-    // Half a call a second is this relay's part of a limit of 50.
+    let mut harness = Harness::new(Settings { relays: 100, remaining_column, limit_column, ..settings() });
+    let id = harness.submit(0);
+    // The part of this relay is half a call a second, of a limit of 50 for 100 relays.
     let (outcome, took_ms, report) = (Outcome::Full, 0.0, vec![0.0, 50.0]);
     let (attempt, settled, wait_ms) = (0, false, 0.0);
-    rig.give(Event::Ended { id, attempt, outcome, took_ms, settled, wait_ms, report });
-    rig.wait(3500.0);
-    let usage_report = rig.account.take(rig.now, false);
-    let held = |bound: WaitReason| usage_report.held.get(&(0, bound)).copied().unwrap_or(0.0);
-    assert!((90.0..=510.0).contains(&held(WaitReason::Quiet)), "{:?}", usage_report.held);
-    assert!(held(WaitReason::Bucket) > 100.0, "{:?}", usage_report.held);
-    assert!(held(WaitReason::Pace) > 500.0, "{:?}", usage_report.held);
+    harness.handle(Event::Ended { id, attempt, outcome, took_ms, settled, wait_ms, report });
+    harness.advance(3500.0);
+    let usage_report = harness.account.take(harness.now, false);
+    let waited_ms = |reason: WaitReason| usage_report.held.get(&(0, reason)).copied().unwrap_or(0.0);
+    assert!(
+        (90.0..=510.0).contains(&waited_ms(WaitReason::Quiet)),
+        "wrong time for the backoff: {:?}",
+        usage_report.held
+    );
+    assert!(
+        waited_ms(WaitReason::Bucket) > 100.0,
+        "too little time for the token bucket: {:?}",
+        usage_report.held
+    );
+    assert!(
+        waited_ms(WaitReason::Pace) > 500.0,
+        "too little time for the rate limit: {:?}",
+        usage_report.held
+    );
     assert!(
         usage_report
             .held
             .keys()
             .all(|k| matches!(k.1, WaitReason::Quiet | WaitReason::Bucket | WaitReason::Pace)),
-        "{:?}",
+        "waits are recorded under other reasons: {:?}",
         usage_report.held
     );
 }
 
+/// Guards against waiting time that is recorded under a wrong reason: the slot ceiling, a Retry-After.
 #[test]
-fn what_waits_is_booked_under_what_holds_it() {
-    let mut rig = Rig::new(settings());
-    // One slot is the ceiling of a destination here: two taken by two destinations, the third message waits for one.
-    let (a, b) = (rig.ask(0), rig.ask(1));
-    rig.ask(0);
-    rig.wait(200.0);
-    rig.end(a, 0, Outcome::Delivered, 0.0);
-    rig.end(b, 0, Outcome::Full, 1000.0);
-    rig.wait(300.0);
-    let usage_report = rig.account.take(rig.now, false);
-    let held = |dest, bound| usage_report.held.get(&(dest, bound)).copied().unwrap_or(0.0);
-    assert!((190.0..=210.0).contains(&held(0, WaitReason::ThreeQuarters)), "{:?}", usage_report.held);
-    assert!((290.0..=310.0).contains(&held(1, WaitReason::Wait)), "{:?}", usage_report.held);
-    assert_eq!(usage_report.full_ms, 200.0, "all slots taken, and something waits");
-    // Given up after its time: the wait held it for a second, its pace or a trial after that.
-    rig.wait(4000.0);
-    let usage_report = rig.account.take(rig.now, false);
-    let lost: u64 = usage_report.lost_by_bound().values().sum();
-    assert_eq!(lost, usage_report.by_verdict().get(&MessageOutcome::TimeUp).copied().unwrap_or(0));
+fn waiting_time_is_recorded_by_wait_reason() {
+    let mut harness = Harness::new(settings());
+    // The ceiling of a destination is one slot here. Two destinations take the two slots, and the third
+    // message waits.
+    let (a, b) = (harness.submit(0), harness.submit(1));
+    harness.submit(0);
+    harness.advance(200.0);
+    harness.end_attempt(a, 0, Outcome::Delivered, 0.0);
+    harness.end_attempt(b, 0, Outcome::Full, 1000.0);
+    harness.advance(300.0);
+    let usage_report = harness.account.take(harness.now, false);
+    let waited_ms =
+        |destination, reason| usage_report.held.get(&(destination, reason)).copied().unwrap_or(0.0);
+    assert!(
+        (190.0..=210.0).contains(&waited_ms(0, WaitReason::ThreeQuarters)),
+        "wrong time for the slot ceiling: {:?}",
+        usage_report.held
+    );
+    assert!(
+        (290.0..=310.0).contains(&waited_ms(1, WaitReason::Wait)),
+        "wrong time for Retry-After: {:?}",
+        usage_report.held
+    );
+    assert_eq!(usage_report.full_ms, 200.0, "wrong time with all slots taken while a message waits");
+    // Given up at its deadline: it waited for a second for the Retry-After, then for the rate limit or a
+    // half-open trial.
+    harness.advance(4000.0);
+    let usage_report = harness.account.take(harness.now, false);
+    let lost: u64 = usage_report.lost_by_wait_reason().values().sum();
+    assert_eq!(lost, usage_report.messages_by_outcome().get(&MessageOutcome::TimeUp).copied().unwrap_or(0));
 }
 
+/// Guards against messages that are not counted or counted twice, and against recording messages shed from a
+/// full queue as expired.
 #[test]
-fn every_message_has_one_end_and_a_full_hold_is_told_from_time() {
-    let mut rig = Rig::new(settings());
+fn every_message_ends_once_and_shed_messages_differ_from_expired_ones() {
+    let mut harness = Harness::new(settings());
     for n in 0..40 {
-        rig.ask(n % 2);
-        rig.wait(20.0);
+        harness.submit(n % 2);
+        harness.advance(20.0);
     }
-    rig.wait(6000.0);
-    let usage_report = rig.account.take(rig.now, true);
-    let verdicts = usage_report.by_verdict();
-    let out = usage_report.by_end().get(&CallOutcome::PassedOn).map_or(0, |s| s.count);
-    assert_eq!(verdicts.values().sum::<u64>() + out, 40, "{verdicts:?}, {out} out");
+    harness.advance(6000.0);
+    let usage_report = harness.account.take(harness.now, true);
+    let message_outcomes = usage_report.messages_by_outcome();
+    let passed_on = usage_report.calls_by_outcome().get(&CallOutcome::PassedOn).map_or(0, |s| s.count);
+    assert_eq!(
+        message_outcomes.values().sum::<u64>() + passed_on,
+        40,
+        "not 40 ends: {message_outcomes:?}, {passed_on} passed on"
+    );
     assert!(
-        verdicts[&MessageOutcome::HoldFull] > 10 && verdicts[&MessageOutcome::TimeUp] > 5,
-        "{verdicts:?}"
+        message_outcomes[&MessageOutcome::HoldFull] > 10 && message_outcomes[&MessageOutcome::TimeUp] > 5,
+        "too few messages shed or expired: {message_outcomes:?}"
     );
 }
 
+/// Guards against slot time that both processes record: a call of an earlier process counts from the takeover
+/// on.
 #[test]
-fn an_earlier_processs_call_counts_from_the_takeover_on() {
-    let mut rig = Rig::new(settings());
+fn a_call_of_an_earlier_process_counts_from_the_takeover_on() {
+    let mut harness = Harness::new(settings());
     let restored = Event::Restored {
         id: 9,
         class: 0,
         tenant: 0,
         key: None,
-        due: rig.now + 3000.0,
+        due: harness.now + 3000.0,
         destination: 0,
         attempts: 2,
         first_uncertain_send: None,
         may_be_running: false,
         untried: false,
     };
-    let resumed = Event::Resumed { id: 9, endpoint: "h0".into(), sent: rig.now - 300.0 };
-    let (mut out, events) = (Vec::new(), [restored, resumed]);
-    rig.relay.handle(rig.now, &events, &mut out);
-    rig.account.round(rig.now, &events, &out, &rig.relay);
-    rig.wait(100.0);
-    rig.end(9, 2, Outcome::Delivered, 0.0);
-    let usage_report = rig.account.take(rig.now, false);
-    let spent: Vec<_> = usage_report.calls.values().collect();
-    assert_eq!((spent.len(), spent[0].count, spent[0].ms), (1, 1, 100.0), "the rest is in the other's books");
+    let resumed = Event::Resumed { id: 9, endpoint: "h0".into(), sent: harness.now - 300.0 };
+    let (mut actions, events) = (Vec::new(), [restored, resumed]);
+    harness.relay.handle(harness.now, &events, &mut actions);
+    harness.account.round(harness.now, &events, &actions, &harness.relay);
+    harness.advance(100.0);
+    harness.end_attempt(9, 2, Outcome::Delivered, 0.0);
+    let usage_report = harness.account.take(harness.now, false);
+    let used: Vec<_> = usage_report.calls.values().collect();
+    assert_eq!(
+        (used.len(), used[0].count, used[0].ms),
+        (1, 1, 100.0),
+        "the call does not count from the takeover on"
+    );
     assert!(usage_report.calls.keys().all(|k| k.2 == HealthState::Well));
 }
 
+/// Guards against reports that do not add up or change when they are serialized.
 #[test]
-fn sheets_add_up_and_have_a_text() {
-    let mut rig = Rig::new(settings());
+fn reports_add_up_and_can_be_serialized_and_printed() {
+    let mut harness = Harness::new(settings());
     let mut sum = UsageReport::default();
     for n in 0..6 {
-        let id = rig.ask(n % 2);
-        rig.wait(40.0);
-        rig.end(id, 0, Outcome::Delivered, 0.0);
-        let usage_report = rig.account.take(rig.now, false);
-        let text = serde_json::to_string(&usage_report).expect("it has a text");
-        assert_eq!(serde_json::from_str::<UsageReport>(&text).expect("it can be read"), usage_report);
+        let id = harness.submit(n % 2);
+        harness.advance(40.0);
+        harness.end_attempt(id, 0, Outcome::Delivered, 0.0);
+        let usage_report = harness.account.take(harness.now, false);
+        let json = serde_json::to_string(&usage_report).expect("the report was not serialized");
+        assert_eq!(
+            serde_json::from_str::<UsageReport>(&json).expect("the serialized report was not read"),
+            usage_report
+        );
         sum.add(&usage_report);
     }
-    assert_eq!((sum.by_end()[&CallOutcome::InTime].count, sum.by_end()[&CallOutcome::InTime].ms), (6, 240.0));
-    let words = sum.to_string();
-    assert!(words.contains("InTime") && words.contains("slots used 50%"), "{words}");
+    assert_eq!(
+        (sum.calls_by_outcome()[&CallOutcome::InTime].count, sum.calls_by_outcome()[&CallOutcome::InTime].ms),
+        (6, 240.0)
+    );
+    let table = sum.to_string();
+    assert!(table.contains("InTime") && table.contains("slots used 50%"), "wrong table: {table}");
 }
