--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! The platform's settings, as JSON stands in a relay's configuration, read into the module's own. Units are
-//! those of the platform: spans in milliseconds, rates in calls a second.
+//! Parses the platform's settings, which are JSON in a relay's configuration, into the settings of the
+//! decision module. Units are those of the platform: durations in milliseconds, rates in calls per second.
 #![warn(missing_docs)]
 
 pub mod words;
@@ -8,10 +8,10 @@
 use serde::Deserialize;
 use words::{DEDUP_SCOPES, DISCOVERY, EFFECTS, VALUE_DECAYS, WEIGHTS};
 
-/// What the settings say, checked.
+/// The parsed and validated settings.
 #[derive(Clone, Debug)]
 pub struct ParsedSettings {
-    /// For the module.
+    /// Settings of the decision module.
     pub settings: Settings,
     /// Names of the classes, by index.
     pub classes: Vec<String>,
@@ -21,15 +21,16 @@
     pub zones: Vec<String>,
     /// Names of the kinds of destinations, by index.
     pub kinds: Vec<String>,
-    /// A connection that is not up by then counts as refused. Over 0 and under 1e9.
+    /// Time after which a connection that is not established counts as refused. Over 0 and under 1e9.
     pub connect_timeout_ms: f64,
-    /// Columns of a load report, in the order in which the module reads them.
+    /// Columns of a load report, in the order in which the decision module reads them.
     pub report_columns: Vec<String>,
-    /// The list is not pushed but asked for, and each call costs discovery something.
+    /// Whether the list has to be polled, where each poll costs the discovery service something, rather than
+    /// being pushed.
     pub discovery_is_polled: bool,
 }
 
-/// The settings as they stand in the file. [`FileSettings::read`] checks them.
+/// The settings as written in the configuration file. [`FileSettings::read`] validates them.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct FileSettings {
@@ -38,9 +39,9 @@
     costs: FileCosts,
     discovery: Option<String>,
     domain: FileDomain,
-    limits: FileAllowances,
+    limits: FileLimits,
     #[serde(default)]
-    load_report: FileReport,
+    load_report: FileLoadReport,
     #[serde(default)]
     machine_types: Vec<String>,
     #[serde(default)]
@@ -79,7 +80,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct FileAllowances {
+struct FileLimits {
     max_open: usize,
     max_attempts: u32,
     conn_idle_ms: f64,
@@ -100,7 +101,7 @@
 
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
-struct FileReport {
+struct FileLoadReport {
     columns: Vec<String>,
 }
 
@@ -139,31 +140,31 @@
     order_pause_ms: f64,
 }
 
-/// A word of the settings, or the first of `words` where it is absent.
-fn word<T: Copy>(what: &str, text: Option<&str>, words: &[(&str, T)]) -> Result<T, String> {
-    let found = text.map_or(words.first(), |text| words.iter().find(|w| w.0 == text));
-    found.map(|w| w.1).ok_or_else(|| format!("setting {what} cannot be read: {}", text.unwrap_or("")))
+/// Returns the value of a keyword of `setting`, or the first of `keywords` where it is left out.
+fn parse_keyword<T: Copy>(setting: &str, text: Option<&str>, keywords: &[(&str, T)]) -> Result<T, String> {
+    let found = text.map_or(keywords.first(), |text| keywords.iter().find(|k| k.0 == text));
+    found.map(|k| k.1).ok_or_else(|| format!("setting {setting} cannot be read: {}", text.unwrap_or("")))
 }
 
-fn class(c: &FileClass) -> Result<Class, String> {
+fn class(file: &FileClass) -> Result<Class, String> {
     Ok(Class {
-        aim_ms: c.aim_ms,
-        deadline_ms: c.deadline_ms,
-        effect: word("Profiles.Effect", Some(&c.effect), &EFFECTS)?,
-        dedup_scope: word("Profiles.Group", c.group.as_deref(), &DEDUP_SCOPES)?,
-        dedup_window_ms: c.dedup_window_ms,
-        value: c.points,
-        late_value: c.late_value,
-        in_order: c.serial_by_key,
+        aim_ms: file.aim_ms,
+        deadline_ms: file.deadline_ms,
+        effect: parse_keyword("Profiles.Effect", Some(&file.effect), &EFFECTS)?,
+        dedup_scope: parse_keyword("Profiles.Group", file.group.as_deref(), &DEDUP_SCOPES)?,
+        dedup_window_ms: file.dedup_window_ms,
+        value: file.points,
+        late_value: file.late_value,
+        in_order: file.serial_by_key,
     })
 }
 
 impl FileSettings {
-    /// Checks them. The error is one line that names the setting.
+    /// Validates the settings. The error is one line that names the setting.
     pub fn read(&self) -> Result<ParsedSettings, String> {
-        let millis = self.limits.connect_timeout_ms;
-        if !(millis > 0.0 && millis < 1e9) {
-            return Err(format!("setting Limits.ConnectTimeoutMs cannot be read: {millis}"));
+        let connect_timeout_ms = self.limits.connect_timeout_ms;
+        if !(connect_timeout_ms > 0.0 && connect_timeout_ms < 1e9) {
+            return Err(format!("setting Limits.ConnectTimeoutMs cannot be read: {connect_timeout_ms}"));
         }
         Ok(ParsedSettings {
             settings: settings(self)?,
@@ -171,55 +172,55 @@
             tenants: self.orgs.iter().map(|o| o.name.clone()).collect(),
             zones: self.zones.clone(),
             kinds: self.machine_types.clone(),
-            connect_timeout_ms: millis,
+            connect_timeout_ms,
             report_columns: self.load_report.columns.clone(),
-            discovery_is_polled: word("Discovery", self.discovery.as_deref(), &DISCOVERY)?,
+            discovery_is_polled: parse_keyword("Discovery", self.discovery.as_deref(), &DISCOVERY)?,
         })
     }
 }
 
-fn settings(s: &FileSettings) -> Result<Settings, String> {
-    if s.profiles.is_empty() {
+fn settings(file: &FileSettings) -> Result<Settings, String> {
+    if file.profiles.is_empty() {
         return Err("setting Profiles is empty".into());
     }
-    if s.domain.slots == 0 {
+    if file.domain.slots == 0 {
         return Err("setting Domain.Slots is 0".into());
     }
-    let column = |name: &str| s.load_report.columns.iter().position(|c| c == name);
+    let column = |name: &str| file.load_report.columns.iter().position(|c| c == name);
     Ok(Settings {
-        relays: s.balancers,
-        zone: s.zone,
-        slots: s.domain.slots,
-        max_open: s.limits.max_open,
-        max_attempts: s.limits.max_attempts,
-        classes: s.profiles.iter().map(class).collect::<Result<_, _>>()?,
-        tenant_rates: s.orgs.iter().map(|o| o.quota_rps).collect(),
-        over_share_value: s.over_share_worth.unwrap_or(1.0),
-        value_decay: word("Domain.Fades", s.domain.fades.as_deref(), &VALUE_DECAYS)?,
-        // One call carries one message on these sockets, whatever the simulator's calls may carry.
-        batch: s.domain.batch_by_kind.iter().map(|_| 1).collect(),
-        own_limits: s.domain.own_limits.clone(),
-        route_fee: s.domain.route_fee.clone(),
-        cross_zone_cost: s.costs.cross_zone,
-        handshake_cost: s.costs.handshake,
-        weight_meaning: word("Weights", s.weights.as_deref(), &WEIGHTS)?,
+        relays: file.balancers,
+        zone: file.zone,
+        slots: file.domain.slots,
+        max_open: file.limits.max_open,
+        max_attempts: file.limits.max_attempts,
+        classes: file.profiles.iter().map(class).collect::<Result<_, _>>()?,
+        tenant_rates: file.orgs.iter().map(|o| o.quota_rps).collect(),
+        over_share_value: file.over_share_worth.unwrap_or(1.0),
+        value_decay: parse_keyword("Domain.Fades", file.domain.fades.as_deref(), &VALUE_DECAYS)?,
+        // Over HTTP a call carries one message, whatever batch size the simulator uses.
+        batch: file.domain.batch_by_kind.iter().map(|_| 1).collect(),
+        own_limits: file.domain.own_limits.clone(),
+        route_fee: file.domain.route_fee.clone(),
+        cross_zone_cost: file.costs.cross_zone,
+        handshake_cost: file.costs.handshake,
+        weight_meaning: parse_keyword("Weights", file.weights.as_deref(), &WEIGHTS)?,
         remaining_column: column("x0"),
         limit_column: column("x1"),
-        // The watch is discovery.rs's own; the module never has to ask.
+        // The relay watches discovery by itself, so the decision module never polls it.
         poll_discovery: false,
-        may_cancel: s.limits.cancel,
-        may_probe: s.limits.probing,
+        may_cancel: file.limits.cancel,
+        may_probe: file.limits.probing,
         confirms_answers: false,
-        hedging: s.limits.second_copies,
-        retry_after: s.limits.retry_after,
-        max_retry_after_ms: s.limits.max_retry_after_ms,
-        conn_idle_ms: s.limits.conn_idle_ms,
-        conn_streams: s.limits.max_streams,
-        cold_share: s.safety.cold_share,
-        warm_after_ms: s.safety.warm_after_ms,
-        fall_multiple: s.safety.fall_multiple,
-        fall_ms: s.safety.fall_ms,
-        order_pause_ms: s.safety.order_pause_ms,
-        tick_ms: s.tick_ms,
+        hedging: file.limits.second_copies,
+        retry_after: file.limits.retry_after,
+        max_retry_after_ms: file.limits.max_retry_after_ms,
+        conn_idle_ms: file.limits.conn_idle_ms,
+        conn_streams: file.limits.max_streams,
+        cold_share: file.safety.cold_share,
+        warm_after_ms: file.safety.warm_after_ms,
+        fall_multiple: file.safety.fall_multiple,
+        fall_ms: file.safety.fall_ms,
+        order_pause_ms: file.safety.order_pause_ms,
+        tick_ms: file.tick_ms,
     })
 }
