--- a/crates/traffic/src/format.rs
+++ b/crates/traffic/src/format.rs
@@ -1,54 +1,55 @@
-//! Reading and writing the format.
+//! Reading and writing of recordings.
 
 use base64::prelude::{Engine, BASE64_STANDARD};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 use std::io::{self, BufRead, Write};
 
-/// The longest line that is read: a body of 1 MiB in base64, and room for the rest.
-const MOST_LINE: u64 = 2 << 20;
+/// Maximum length of a line: a body of 1 MiB in base64, and room for the other fields.
+const MAX_LINE_BYTES: u64 = 2 << 20;
 const FORMAT: &str = "mulleinslip-traffic";
 const VERSION: u32 = 1;
 
-/// A message, as it was handed in.
+/// A message as a client submitted it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Message {
-    /// When, in microseconds from the start.
+    /// Time in microseconds from the start of the recording.
     pub at_us: u64,
-    /// The sender's id for it.
+    /// The client's id of the message.
     pub id: String,
-    /// Its class.
+    /// Name of its class.
     pub class: String,
-    /// Its tenant.
+    /// Name of its tenant.
     pub tenant: String,
-    /// Its destination.
+    /// Number of its destination.
     pub dest: u64,
-    /// For how long it may be delivered.
+    /// Time within which it may be delivered.
     pub budget_ms: u64,
-    /// What partners know a repeat by.
+    /// Idempotency key, by which partners recognise a repeat.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
-    /// The key within which messages go in order.
+    /// Order key: messages with the same key are delivered in order.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub order_key: Option<String>,
-    /// What is carried.
+    /// The body.
     #[serde(serialize_with = "to_base64", deserialize_with = "from_base64")]
     pub body: Vec<u8>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Head {
+/// The first line of a recording.
+struct Header {
     format: String,
     version: u32,
 }
 
-fn to_base64<S: Serializer>(body: &[u8], to: S) -> Result<S::Ok, S::Error> {
-    to.serialize_str(&BASE64_STANDARD.encode(body))
+fn to_base64<S: Serializer>(body: &[u8], serializer: S) -> Result<S::Ok, S::Error> {
+    serializer.serialize_str(&BASE64_STANDARD.encode(body))
 }
 
-fn from_base64<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<u8>, D::Error> {
-    let text = String::deserialize(from)?;
+fn from_base64<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<u8>, D::Error> {
+    let text = String::deserialize(deserializer)?;
     BASE64_STANDARD.decode(text).map_err(serde::de::Error::custom)
 }
 
@@ -56,42 +57,42 @@
 pub struct Writer<W>(W);
 
 impl<W: Write> Writer<W> {
-    /// Begins one.
+    /// Begins a recording by writing its first line.
     ///
     /// # Errors
-    /// What writing gives.
-    pub fn begin(mut to: W) -> io::Result<Writer<W>> {
-        let head = Head { format: FORMAT.into(), version: VERSION };
-        serde_json::to_writer(&mut to, &head)?;
-        to.write_all(b"\n")?;
-        Ok(Writer(to))
+    /// Returns errors of the underlying writer.
+    pub fn begin(mut output: W) -> io::Result<Writer<W>> {
+        let header = Header { format: FORMAT.into(), version: VERSION };
+        serde_json::to_writer(&mut output, &header)?;
+        output.write_all(b"\n")?;
+        Ok(Writer(output))
     }
 
-    /// Adds a message.
+    /// Writes a message.
     ///
     /// # Errors
-    /// What writing gives.
+    /// Returns errors of the underlying writer.
     pub fn add(&mut self, message: &Message) -> io::Result<()> {
         let mut line = serde_json::to_vec(message)?;
         line.push(b'\n');
         self.0.write_all(&line)
     }
 
-    /// What it was written to.
+    /// Flushes the recording and returns the underlying writer.
     pub fn finish(mut self) -> io::Result<W> {
         self.0.flush()?;
         Ok(self.0)
     }
 }
 
-/// Why a recording can't be read.
+/// Error from reading a recording.
 #[derive(Debug)]
 pub enum ReadError {
-    /// What reading gave.
+    /// Error of the underlying reader.
     Io(io::Error),
     /// The first line is not that of a recording of this version.
-    Head,
-    /// A line that can't be read: its number, from 1, and what is wrong with it, by field.
+    Header,
+    /// An invalid line: its number, counted from 1, and what is wrong with which field.
     Line(usize, String),
 }
 
@@ -99,44 +100,45 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             ReadError::Io(e) => write!(f, "recording: {e}"),
-            ReadError::Head => write!(f, "line 1: not a recording of version {VERSION}"),
-            ReadError::Line(n, why) => write!(f, "line {n}: {why}"),
+            ReadError::Header => write!(f, "line 1: not a recording of version {VERSION}"),
+            ReadError::Line(number, reason) => write!(f, "line {number}: {reason}"),
         }
     }
 }
 
 impl std::error::Error for ReadError {}
 
-/// Reads a recording, a message at a time.
+/// Reads a recording one message at a time.
 pub struct Reader<R> {
-    from: R,
+    input: R,
+    /// Number of the current line.
     line: usize,
     last_us: u64,
 }
 
 impl<R: BufRead> Reader<R> {
-    /// Reads its first line.
+    /// Begins reading with the first line, which tells format and version.
     ///
     /// # Errors
-    /// See [`ReadError`].
-    pub fn begin(from: R) -> Result<Reader<R>, ReadError> {
-        let mut reader = Reader { from, line: 0, last_us: 0 };
-        let head = reader.line().transpose()?.ok_or(ReadError::Head)?;
-        let head: Head = serde_json::from_slice(&head).map_err(|_| ReadError::Head)?;
-        match head.format == FORMAT && head.version == VERSION {
+    /// Returns a [`ReadError`] if the first line can't be read or is not that of a recording of this version.
+    pub fn begin(input: R) -> Result<Reader<R>, ReadError> {
+        let mut reader = Reader { input, line: 0, last_us: 0 };
+        let header = reader.read_line().transpose()?.ok_or(ReadError::Header)?;
+        let header: Header = serde_json::from_slice(&header).map_err(|_| ReadError::Header)?;
+        match header.format == FORMAT && header.version == VERSION {
             true => Ok(reader),
-            false => Err(ReadError::Head),
+            false => Err(ReadError::Header),
         }
     }
 
-    /// A whole line without its end.
-    fn line(&mut self) -> Option<Result<Vec<u8>, ReadError>> {
+    /// Returns the next complete line without its line feed, or `None` at the end.
+    fn read_line(&mut self) -> Option<Result<Vec<u8>, ReadError>> {
         self.line += 1;
         let mut line = Vec::new();
-        match io::Read::take(&mut self.from, MOST_LINE).read_until(b'\n', &mut line) {
+        match io::Read::take(&mut self.input, MAX_LINE_BYTES).read_until(b'\n', &mut line) {
             Err(e) => Some(Err(ReadError::Io(e))),
-            Ok(n) if n as u64 == MOST_LINE => Some(Err(ReadError::Line(self.line, "too long".into()))),
-            // The end, or a line that was cut off.
+            Ok(n) if n as u64 == MAX_LINE_BYTES => Some(Err(ReadError::Line(self.line, "too long".into()))),
+            // The end of the recording, or an incomplete last line.
             Ok(_) => line.ends_with(b"\n").then(|| {
                 line.pop();
                 Ok(line)
@@ -149,7 +151,7 @@
     type Item = Result<Message, ReadError>;
 
     fn next(&mut self) -> Option<Self::Item> {
-        let line = match self.line()? {
+        let line = match self.read_line()? {
             Ok(line) => line,
             Err(e) => return Some(Err(e)),
         };
@@ -177,32 +179,39 @@
         Message { at_us, id, class, tenant, dest: 7, budget_ms: 900, key, order_key, body: vec![0, 255, 10] }
     }
 
-    fn written() -> Vec<u8> {
+    fn recording() -> Vec<u8> {
         let mut writer = Writer::begin(Vec::new()).unwrap();
         (0..3).for_each(|n| writer.add(&message(n)).unwrap());
         writer.finish().unwrap()
     }
 
+    /// Guards against a recording that can't be read, or read wrongly, after the recorder was killed in a
+    /// line.
     #[test]
-    fn what_is_written_is_read_and_a_cut_line_is_left_out() {
-        let bytes = written();
-        let lines: Vec<usize> = (0..bytes.len()).filter(|at| bytes[*at] == b'\n').collect();
+    fn recording_is_read_without_an_incomplete_last_line() {
+        let bytes = recording();
+        let line_ends: Vec<usize> = (0..bytes.len()).filter(|at| bytes[*at] == b'\n').collect();
         for cut in 0..=bytes.len() {
-            let whole = lines.iter().filter(|at| **at < cut).count();
+            let complete = line_ends.iter().filter(|at| **at < cut).count();
             match Reader::begin(&bytes[..cut]) {
-                Err(ReadError::Head) => assert_eq!(whole, 0),
+                Err(ReadError::Header) => assert_eq!(complete, 0),
                 Err(e) => panic!("{e}"),
                 Ok(reader) => {
-                    let all: Vec<Message> = reader.map(Result::unwrap).collect();
-                    assert_eq!(all, (0..whole as u64 - 1).map(message).collect::<Vec<_>>(), "cut at {cut}");
+                    let messages: Vec<Message> = reader.map(Result::unwrap).collect();
+                    assert_eq!(
+                        messages,
+                        (0..complete as u64 - 1).map(message).collect::<Vec<_>>(),
+                        "wrong messages from a recording cut at byte {cut}"
+                    );
                 }
             }
         }
     }
 
+    /// Guards against errors that don't tell which line or field is invalid.
     #[test]
-    fn errors_name_line_and_field() {
-        let text = String::from_utf8(written()).unwrap();
+    fn read_errors_name_line_and_field() {
+        let text = String::from_utf8(recording()).unwrap();
         let error = |from: &str, to: &str| {
             let text = text.replacen(from, to, 1);
             let reader = Reader::begin(text.as_bytes());
@@ -210,7 +219,10 @@
         };
         assert!(error("\"version\":1", "\"version\":2").contains("line 1"));
         let missing = error("\"class\":\"safe\",", "");
-        assert!(missing.contains("line 2") && missing.contains("class"), "{missing}");
+        assert!(
+            missing.contains("line 2") && missing.contains("class"),
+            "line or field not named: {missing}"
+        );
         assert!(error("\"at_us\":1", "\"at_us\":9").contains("line 4: `at_us`"));
         assert!(error("AP8K", "A*8K").contains("line 2"));
         assert!(error("\"dest\":7", "\"dest\":7,\"x\":1").contains("unknown field `x`"));
