--- a/crates/account/tests/account.rs
+++ b/crates/account/tests/account.rs
@@ -89,14 +89,14 @@
 #[test]
 fn slot_time_is_recorded_by_call_outcome() {
     let mut harness = Harness::new(settings());
-    let (a, b) = (harness.submit(0), harness.submit(1));
+    let (first, second) = (harness.submit(0), harness.submit(1));
     harness.advance(100.0);
-    harness.end_attempt(a, 0, Outcome::Delivered, 0.0);
+    harness.end_attempt(first, 0, Outcome::Delivered, 0.0);
     harness.advance(500.0);
-    harness.end_attempt(b, 0, Outcome::Delivered, 0.0);
-    let c = harness.submit(0);
+    harness.end_attempt(second, 0, Outcome::Delivered, 0.0);
+    let third = harness.submit(0);
     harness.advance(50.0);
-    harness.end_attempt(c, 0, Outcome::Error, 0.0);
+    harness.end_attempt(third, 0, Outcome::Error, 0.0);
     harness.advance(30.0);
     let usage_report = harness.account.take(harness.now, false);
     let outcomes = usage_report.calls_by_outcome();
@@ -163,11 +163,11 @@
     let mut harness = Harness::new(settings());
     // The ceiling of a destination is one slot here. Two destinations take the two slots, and the third
     // message waits.
-    let (a, b) = (harness.submit(0), harness.submit(1));
+    let (first, second) = (harness.submit(0), harness.submit(1));
     harness.submit(0);
     harness.advance(200.0);
-    harness.end_attempt(a, 0, Outcome::Delivered, 0.0);
-    harness.end_attempt(b, 0, Outcome::Full, 1000.0);
+    harness.end_attempt(first, 0, Outcome::Delivered, 0.0);
+    harness.end_attempt(second, 0, Outcome::Full, 1000.0);
     harness.advance(300.0);
     let usage_report = harness.account.take(harness.now, false);
     let waited_ms =
--- a/crates/linenhall/tests/learnt_state.rs
+++ b/crates/linenhall/tests/learnt_state.rs
@@ -50,20 +50,23 @@
     assert_eq!(again.hosts, learnt.hosts);
     assert_eq!(again.dests, learnt.dests);
     assert_eq!(again.all, learnt.all);
-    for (a, b) in again.lanes.iter().zip(&learnt.lanes) {
+    for (copy, original) in again.lanes.iter().zip(&learnt.lanes) {
         assert_eq!(
-            (a.latency, a.pace, a.sends.len()),
-            (b.latency, b.pace, b.sends.len()),
+            (copy.latency, copy.pace, copy.sends.len()),
+            (original.latency, original.pace, original.sends.len()),
             "latency, rate limit or sends of destination {} differ",
-            a.destination
+            copy.destination
         );
         assert_eq!(
-            (a.fails, a.failing, a.good),
-            (b.fails, b.failing, b.good),
+            (copy.fails, copy.failing, copy.good),
+            (original.fails, original.failing, original.good),
             "failures of destination {} differ",
-            a.destination
+            copy.destination
+        );
+        assert!(
+            (copy.usual.sum - original.usual.sum).abs() < 1e-9
+                && (copy.trial_in - original.trial_in).abs() < 1e-6
         );
-        assert!((a.usual.sum - b.usual.sum).abs() < 1e-9 && (a.trial_in - b.trial_in).abs() < 1e-6);
     }
     let text = serde_json::to_string(&learnt).expect("learnt state was not serialized");
     let read: Learnt = serde_json::from_str(&text).expect("serialized learnt state was not read");
--- a/crates/linenhall/tests/many_relays.rs
+++ b/crates/linenhall/tests/many_relays.rs
@@ -324,8 +324,8 @@
     assert_eq!(new.relay.learnt(new.now).lanes[0].pace, Some(rate_limit));
 }
 
-/// With much of the limit left, all relays raise their rate limits. A relay that always has a backlog does
-/// not: the others probably have one too.
+/// With much of the limit left, all relays raise their rate limits. A relay that always has a backlog must stay
+/// at its even part of the limit, as the other relays then have a backlog as well.
 #[test]
 fn the_rate_limit_stays_at_the_even_part_where_a_relay_always_has_a_backlog() {
     let settings = linenhall::Settings { relays: 100, max_open: 100, ..settings_with_limit_reports() };
--- a/crates/linenhall/tests/slot_shortage.rs
+++ b/crates/linenhall/tests/slot_shortage.rs
@@ -267,7 +267,7 @@
 }
 
 /// Two partners deliver, then stop answering one after the other, and recover. The third must keep its
-/// service.
+/// service, and the two must get most of their messages delivered.
 #[test]
 fn partners_that_stop_answering_do_not_affect_others() {
     fn silent(from: f64) -> impl Fn(f64) -> Reply {
--- a/crates/linenhall/tests/streams.rs
+++ b/crates/linenhall/tests/streams.rs
@@ -50,7 +50,7 @@
     /// Messages without a final answer.
     open: Vec<u64>,
     timer: f64,
-    /// Mean number of requests in a round.
+    /// About the mean number of requests in a round.
     load: f64,
     stopping: bool,
 }
