--- a/crates/engine/src/destination_table.rs
+++ b/crates/engine/src/destination_table.rs
@@ -1,101 +1,109 @@
-//! Which destinations the list has, or had so lately that hosts of theirs may follow: what is handed in for
-//! another is turned away before the module sees it.
+//! The destinations that the list names, or named recently enough that they may get hosts again. Messages for
+//! any other destination are rejected before the decision module sees them.
 
 use linenhall::{Endpoint, EndpointStatus, ListUpdate};
 use std::collections::{HashMap, VecDeque};
 
 #[derive(Default)]
-struct Place {
-    hosts: usize,
-    /// Without hosts it counts until then.
-    until: f64,
+struct DestinationEntry {
+    host_count: usize,
+    /// When the entry is removed if the destination has no hosts.
+    expires_at: f64,
 }
 
-/// A change costs its own length; only a whole list costs all that is held.
+/// Applying a delta costs time in proportion to its length. Only a full list costs time in proportion to the
+/// table.
 #[derive(Default)]
 pub struct DestinationTable {
-    /// Where each host belongs.
+    /// The destination of each host.
     hosts: HashMap<String, u64>,
-    places: HashMap<u64, Place>,
-    /// Destinations that lost their last host, by the time at which they cease to count.
-    gone: VecDeque<(f64, u64)>,
+    destinations: HashMap<u64, DestinationEntry>,
+    /// Destinations that lost their last host, with the time at which they are removed.
+    expiring: VecDeque<(f64, u64)>,
 }
 
 impl DestinationTable {
-    /// `keep_ms`: for so long a destination without hosts still counts.
-    pub fn learn(&mut self, news: &ListUpdate, now: f64, keep_ms: f64) {
-        match news {
+    /// Applies a list update. `retention_ms` is how long a destination without hosts stays in the table.
+    pub fn apply(&mut self, update: &ListUpdate, now: f64, retention_ms: f64) {
+        match update {
             ListUpdate::Full(list) | ListUpdate::Cached(list) => {
-                // Joined before anything is left: a destination that keeps a host was never without one.
+                // New hosts are added before old ones are removed, so that a destination that keeps a host is
+                // never counted as having none.
                 let mut before = std::mem::take(&mut self.hosts);
-                for e in list.iter().filter(|e| e.status != EndpointStatus::Removed) {
-                    self.join(e);
+                for endpoint in list.iter().filter(|e| e.status != EndpointStatus::Removed) {
+                    self.add_host(endpoint);
                 }
-                before.drain().for_each(|(_, from)| self.leave(from, now, keep_ms));
+                before.drain().for_each(|(_, from)| self.remove_host(from, now, retention_ms));
             }
             ListUpdate::Delta(changes) => {
-                for e in changes {
-                    let before = match e.status {
-                        EndpointStatus::Removed => self.hosts.remove(&e.name),
-                        _ => self.join(e),
+                for endpoint in changes {
+                    let before = match endpoint.status {
+                        EndpointStatus::Removed => self.hosts.remove(&endpoint.name),
+                        _ => self.add_host(endpoint),
                     };
-                    before.into_iter().for_each(|from| self.leave(from, now, keep_ms));
+                    before.into_iter().for_each(|from| self.remove_host(from, now, retention_ms));
                 }
             }
             ListUpdate::Failed => {}
         }
-        self.forget(now);
+        self.remove_expired(now);
     }
 
-    /// Whether the list names this host.
-    pub fn lists(&self, host: &str) -> bool {
+    /// Returns whether the list names this host.
+    pub fn contains_host(&self, host: &str) -> bool {
         self.hosts.contains_key(host)
     }
 
-    /// Not one that has lost its last host lately.
-    pub fn may_forget(&self, destination: u64) -> bool {
-        self.places.get(&destination).is_none_or(|p| p.hosts > 0)
+    /// Returns whether the destination may be removed: not while it waits for its retention time without
+    /// hosts.
+    pub fn may_remove(&self, destination: u64) -> bool {
+        self.destinations.get(&destination).is_none_or(|d| d.host_count > 0)
     }
 
-    /// A destination with all of its hosts.
-    pub fn forget_all(&mut self, destination: u64, hosts: impl Iterator<Item = impl AsRef<str>>) {
+    /// Removes a destination with all of its hosts.
+    pub fn remove(&mut self, destination: u64, hosts: impl Iterator<Item = impl AsRef<str>>) {
         let mut any = false;
         for host in hosts {
             any |= self.hosts.remove(host.as_ref()).is_some();
         }
         if any {
-            self.places.remove(&destination);
+            self.destinations.remove(&destination);
         }
     }
 
-    fn join(&mut self, e: &Endpoint) -> Option<u64> {
-        self.places.entry(e.destination).or_default().hosts += 1;
-        self.hosts.insert(e.name.clone(), e.destination)
+    /// Returns the destination that the host belonged to before.
+    fn add_host(&mut self, endpoint: &Endpoint) -> Option<u64> {
+        self.destinations.entry(endpoint.destination).or_default().host_count += 1;
+        self.hosts.insert(endpoint.name.clone(), endpoint.destination)
     }
 
-    fn leave(&mut self, from: u64, now: f64, keep_ms: f64) {
-        let Some(place) = self.places.get_mut(&from) else { return };
-        place.hosts = place.hosts.saturating_sub(1);
-        if place.hosts == 0 {
-            place.until = now + keep_ms;
-            self.gone.push_back((place.until, from));
+    fn remove_host(&mut self, from: u64, now: f64, retention_ms: f64) {
+        let Some(entry) = self.destinations.get_mut(&from) else { return };
+        entry.host_count = entry.host_count.saturating_sub(1);
+        if entry.host_count == 0 {
+            entry.expires_at = now + retention_ms;
+            self.expiring.push_back((entry.expires_at, from));
         }
     }
 
-    fn forget(&mut self, now: f64) {
-        while let Some((until, dest)) = self.gone.front().copied().filter(|g| g.0 <= now) {
-            self.gone.pop_front();
-            // It may have come back since, and gone once more.
-            if self.places.get(&dest).is_some_and(|p| p.hosts == 0 && p.until <= until) {
-                self.places.remove(&dest);
+    fn remove_expired(&mut self, now: f64) {
+        while let Some((expires_at, destination)) = self.expiring.front().copied().filter(|x| x.0 <= now) {
+            self.expiring.pop_front();
+            // The destination may have got hosts again since, and lost them again.
+            if self
+                .destinations
+                .get(&destination)
+                .is_some_and(|d| d.host_count == 0 && d.expires_at <= expires_at)
+            {
+                self.destinations.remove(&destination);
             }
         }
     }
 
-    /// Whether a message for it may be taken on.
-    pub fn knows(&mut self, destination: u64, now: f64) -> bool {
-        self.forget(now);
-        self.places.contains_key(&destination)
+    /// Returns whether messages for this destination may be accepted.
+    pub fn contains(&mut self, destination: u64, now: f64) -> bool {
+        self.remove_expired(now);
+        self.destinations.contains_key(&destination)
     }
 }
 
@@ -103,27 +111,32 @@
 mod tests {
     use super::*;
 
-    fn host(name: &str, destination: u64, listed: EndpointStatus) -> Endpoint {
-        Endpoint { name: name.into(), destination, zone: 0, kind: 0, weight: 1.0, status: listed }
+    fn host(name: &str, destination: u64, status: EndpointStatus) -> Endpoint {
+        Endpoint { name: name.into(), destination, zone: 0, kind: 0, weight: 1.0, status }
     }
 
+    /// Guards against a destination that is dropped too early or kept for good: it stays in the table while
+    /// it has hosts and for the retention time after it lost its last one, counted from the latest loss.
     #[test]
-    fn a_destination_counts_while_it_has_hosts_and_a_while_after() {
-        let mut p = DestinationTable::default();
+    fn keeps_destination_for_retention_time_after_its_last_host() {
+        let mut table = DestinationTable::default();
         let (a, b) = (host("a", 1, EndpointStatus::Active), host("b", 2, EndpointStatus::Draining));
-        p.learn(&ListUpdate::Full(vec![a.clone(), b.clone()]), 0.0, 10.0);
-        assert!(p.knows(1, 1e9) && p.knows(2, 1e9) && !p.knows(3, 0.0));
-        // The same list once more, and one without b.
-        p.learn(&ListUpdate::Full(vec![a.clone(), b]), 5.0, 10.0);
-        p.learn(&ListUpdate::Full(vec![a.clone()]), 20.0, 10.0);
-        assert!(p.knows(2, 29.9) && !p.knows(2, 30.0) && p.knows(1, 30.0));
-        // A host that moves to another destination, gone and back and gone.
-        p.learn(&ListUpdate::Delta(vec![host("a", 3, EndpointStatus::Active)]), 40.0, 10.0);
-        assert!(p.knows(3, 45.0) && p.knows(1, 45.0));
-        p.learn(&ListUpdate::Delta(vec![a]), 46.0, 10.0);
-        p.learn(&ListUpdate::Delta(vec![host("a", 1, EndpointStatus::Removed)]), 48.0, 10.0);
-        assert!(p.knows(1, 57.9), "gone for the second time at 48");
-        assert!(!p.knows(1, 58.0) && !p.knows(3, 58.0));
-        assert!(p.hosts.is_empty() && p.places.is_empty() && p.gone.is_empty());
+        table.apply(&ListUpdate::Full(vec![a.clone(), b.clone()]), 0.0, 10.0);
+        assert!(table.contains(1, 1e9) && table.contains(2, 1e9) && !table.contains(3, 0.0));
+        // The same list again, then one without host b.
+        table.apply(&ListUpdate::Full(vec![a.clone(), b]), 5.0, 10.0);
+        table.apply(&ListUpdate::Full(vec![a.clone()]), 20.0, 10.0);
+        assert!(table.contains(2, 29.9) && !table.contains(2, 30.0) && table.contains(1, 30.0));
+        // A host moves to another destination and back, and is then removed.
+        table.apply(&ListUpdate::Delta(vec![host("a", 3, EndpointStatus::Active)]), 40.0, 10.0);
+        assert!(table.contains(3, 45.0) && table.contains(1, 45.0));
+        table.apply(&ListUpdate::Delta(vec![a]), 46.0, 10.0);
+        table.apply(&ListUpdate::Delta(vec![host("a", 1, EndpointStatus::Removed)]), 48.0, 10.0);
+        assert!(
+            table.contains(1, 57.9),
+            "removed before 10 ms had passed since it lost its host again at 48"
+        );
+        assert!(!table.contains(1, 58.0) && !table.contains(3, 58.0));
+        assert!(table.hosts.is_empty() && table.destinations.is_empty() && table.expiring.is_empty());
     }
 }
--- a/crates/engine/src/engine/restore.rs
+++ b/crates/engine/src/engine/restore.rs
@@ -1,53 +1,65 @@
-//! How a process goes on with what an earlier one left.
+//! Restores the state that an earlier process has left.
 
 use super::{Engine, Predecessor};
 use crate::message::Output;
-use crate::open::{Open, Out};
+use crate::open_messages::{AttemptInFlight, OpenMessage};
 use crate::store::Store;
 use bytes::Bytes;
 use linenhall::{Endpoint, EndpointStatus, Event, ListUpdate, Outage};
-use mulleinslip_journal::{Attempt as KeptAttempt, GivenUp, OutageRecord, RecoveredMessage, RecoveredState};
+use mulleinslip_journal::{
+    Attempt as RecoveredAttempt, GivenUp, OutageRecord, RecoveredMessage, RecoveredState,
+};
 
 impl<S: Store, R> Engine<S, R> {
-    /// Tells the module what an earlier process left, together with the lists that are known: one round, and the
-    /// first. `alive` is what that process tells if it still runs.
+    /// Passes the recovered state of an earlier process and the known lists to the module, in one round. This
+    /// must be the first round. `previous` is the state of that process if it still runs.
     pub fn restore<T>(
-        &mut self, now: f64, lists: Vec<ListUpdate>, left: RecoveredState, alive: &Predecessor,
-        out: &mut Vec<Output<T, R>>,
+        &mut self, now: f64, lists: Vec<ListUpdate>, recovered: RecoveredState, previous: &Predecessor,
+        outputs: &mut Vec<Output<T, R>>,
     ) {
         let mut events = Vec::new();
         for list in lists {
-            self.destination_table.learn(&list, now, self.replaced_within_ms);
+            self.destination_table.apply(&list, now, self.destination_retention_ms);
             events.push(Event::ListUpdate(list));
         }
-        events.push(Event::Outages(left.outages.iter().map(recalled).collect()));
-        events.push(Event::RetryAfters(alive.retry_afters.clone()));
-        events.extend(alive.learnt.iter().map(|part| Event::Learnt(Box::new(part.clone()))));
-        let mut going = Vec::new();
-        for mut kept in left.messages {
-            let id = kept.id;
-            self.open.used(id);
-            let is_out = |a: &KeptAttempt| alive.attempts_in_flight.contains(&(id, a.number));
-            let out_yet = kept.attempts.iter().position(is_out).map(|at| kept.attempts.swap_remove(at));
-            let Some(mut event) = self.restored(now, kept, !alive.is_running, out) else { continue };
-            if let (Some(a), Event::Restored { attempts, .. }) = (out_yet, &mut event) {
-                // The number that the module gives to the attempt next.
-                *attempts = a.number;
-                going.push((id, a));
+        events.push(Event::Outages(recovered.outages.iter().map(outage_from_record).collect()));
+        events.push(Event::RetryAfters(previous.retry_afters.clone()));
+        events.extend(previous.learnt.iter().map(|part| Event::Learnt(Box::new(part.clone()))));
+        let mut resumed = Vec::new();
+        for mut message in recovered.messages {
+            let id = message.id;
+            self.open_messages.mark_used(id);
+            let is_in_flight = |a: &RecoveredAttempt| previous.attempts_in_flight.contains(&(id, a.number));
+            let in_flight = message
+                .attempts
+                .iter()
+                .position(is_in_flight)
+                .map(|index| message.attempts.swap_remove(index));
+            let Some(mut event) = self.recover(now, message, !previous.is_running, outputs) else { continue };
+            if let (Some(attempt), Event::Restored { attempts, .. }) = (in_flight, &mut event) {
+                // The module gives this number to the message's next attempt, which is the resumed one.
+                *attempts = attempt.number;
+                resumed.push((id, attempt));
             }
             events.push(event);
         }
-        // The module takes what was sent in the order of time.
-        going.sort_by(|a, b| a.1.at.total_cmp(&b.1.at));
+        // The module expects resumed attempts in the order in which they were sent.
+        resumed.sort_by(|a, b| a.1.at.total_cmp(&b.1.at));
         let mut unlisted = Vec::new();
-        for (id, a) in going {
-            let Some(open) = self.open.get_mut(id) else { continue };
-            open.attempts = a.number.saturating_add(1);
-            open.out.push(Out { attempt: a.number, begun: true, called_off: false, begin_by: open.due });
-            let destination = open.destination;
-            if !self.destination_table.lists(&a.endpoint) {
-                // Gone from the list with a call out: it takes nothing new, and its call counts all the same.
-                let (name, weight) = (a.endpoint.clone(), 1.0);
+        for (id, attempt) in resumed {
+            let Some(message) = self.open_messages.get_mut(id) else { continue };
+            message.attempts = attempt.number.saturating_add(1);
+            message.in_flight.push(AttemptInFlight {
+                attempt: attempt.number,
+                begun: true,
+                cancelled: false,
+                begin_by: message.due,
+            });
+            let destination = message.destination;
+            if !self.destination_table.contains_host(&attempt.endpoint) {
+                // A host that left the list with a call in flight gets no new messages, but its call still
+                // counts.
+                let (name, weight) = (attempt.endpoint.clone(), 1.0);
                 let host = Endpoint {
                     name,
                     destination,
@@ -59,27 +71,27 @@
                 events.push(Event::ListUpdate(ListUpdate::Delta(vec![host.clone()])));
                 unlisted.push(Endpoint { status: EndpointStatus::Removed, ..host });
             }
-            events.push(Event::Resumed { id, endpoint: a.endpoint, sent: a.at });
+            events.push(Event::Resumed { id, endpoint: attempt.endpoint, sent: attempt.at });
         }
         if !unlisted.is_empty() {
             events.push(Event::ListUpdate(ListUpdate::Delta(unlisted)));
         }
-        self.starting = true;
-        self.round(now, &events, Vec::new(), out);
-        self.starting = false;
-        out.extend(self.untried.line().map(Output::Log));
+        self.restoring = true;
+        self.run_round(now, &events, Vec::new(), outputs);
+        self.restoring = false;
+        outputs.extend(self.untried.take_log_line().map(Output::Log));
     }
 
-    /// `found`: by a start, and not taken over from a process that lives.
-    fn restored<T>(
-        &mut self, now: f64, kept: RecoveredMessage, found: bool, out: &mut Vec<Output<T, R>>,
+    /// Recovers one message. `from_restart` is false if it is taken over from a running process.
+    fn recover<T>(
+        &mut self, now: f64, recovered: RecoveredMessage, from_restart: bool, outputs: &mut Vec<Output<T, R>>,
     ) -> Option<Event> {
-        let RecoveredMessage { id, message, attempts, given_up } = kept;
-        let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
-        let made = attempts.iter().map(|a| a.number.saturating_add(1)).max().unwrap_or(0);
-        let first = attempts.iter().filter(|a| a.may_have_run).min_by(|a, b| a.at.total_cmp(&b.at));
-        let class = place(&self.names.classes, &message.class);
-        let open = Open {
+        let RecoveredMessage { id, message, attempts, given_up } = recovered;
+        let index_of = |names: &[String], name: &str| names.iter().position(|n| n == name);
+        let next_attempt = attempts.iter().map(|a| a.number.saturating_add(1)).max().unwrap_or(0);
+        let first_uncertain = attempts.iter().filter(|a| a.may_have_run).min_by(|a, b| a.at.total_cmp(&b.at));
+        let class = index_of(&self.names.classes, &message.class);
+        let open_message = OpenMessage {
             call_id: message.call_id,
             class: class.unwrap_or(usize::MAX),
             idempotency_key: message.idempotency_key.map(Bytes::from),
@@ -87,42 +99,45 @@
             destination: message.dest,
             due: message.due,
             in_order: message.order_key.is_some(),
-            attempts: made,
-            out: Vec::new(),
-            may_have_run: first.is_some(),
-            over: false,
+            attempts: next_attempt,
+            in_flight: Vec::new(),
+            may_have_run: first_uncertain.is_some(),
+            finished: false,
             unconfirmed: false,
-            last: None,
+            last_response: None,
         };
-        self.open.insert(id, open);
-        let untried = found && made == 0 && given_up.is_none();
+        self.open_messages.insert(id, open_message);
+        let untried = from_restart && next_attempt == 0 && given_up.is_none();
         if untried {
-            self.untried.found(id, message.due, message.dest);
+            self.untried.add(id, message.due, message.dest);
         }
-        // Given up already: only the answer is still owed. So it is for a class that is no more.
+        // Only the final answer is pending for a message that was given up. A message of a class that is no
+        // longer configured is given up here.
         let given_up = given_up.or(class.is_none().then_some(GivenUp::Undeliverable));
         let (Some(class), None) = (class, given_up) else {
             self.untried.given_up(id, now, true, class.is_some());
-            self.give_up(id, given_up.unwrap_or(GivenUp::Undeliverable), false, out);
+            self.send_given_up(id, given_up.unwrap_or(GivenUp::Undeliverable), false, outputs);
             return message.order_key.map(|key| Event::AnswerPending { id, key });
         };
         Some(Event::Restored {
             id,
             class,
-            tenant: place(&self.names.tenants, &message.tenant).unwrap_or(0),
+            tenant: index_of(&self.names.tenants, &message.tenant).unwrap_or(0),
             key: message.order_key,
             due: message.due,
             destination: message.dest,
-            attempts: made,
-            // A clock that was set back meanwhile tells nothing of when: then it was long ago.
-            first_uncertain_send: first.map(|a| (if a.at > now { 0.0 } else { a.at }, a.endpoint.clone())),
+            attempts: next_attempt,
+            // A time in the future means that the clock was set back since, and the time of the attempt is
+            // unknown. It then counts as long ago.
+            first_uncertain_send: first_uncertain
+                .map(|a| (if a.at > now { 0.0 } else { a.at }, a.endpoint.clone())),
             may_be_running: attempts.iter().any(|a| a.may_run_yet),
             untried,
         })
     }
 }
 
-fn recalled((destination, endpoint, recovered_at, rate_before): &OutageRecord) -> Outage {
+fn outage_from_record((destination, endpoint, recovered_at, rate_before): &OutageRecord) -> Outage {
     Outage {
         destination: *destination,
         endpoint: endpoint.clone(),
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,24 +1,24 @@
-//! The engine: the only caller of the decision module. What happens goes in as [`Input`]s, with the time; what is
-//! to be done comes out as [`Output`]s, in order. It does no I/O, knows no protocol and decides nothing about
-//! servers, retries or what to turn away: that is `linenhall`'s.
+//! The engine: the only caller of the decision module (`linenhall`). It takes [`Input`]s with the current
+//! time and returns [`Output`]s in the order in which they are to be carried out. It does no I/O and knows no
+//! protocol. Decisions about hosts, retries and rejected messages are made by `linenhall`.
 //!
-//! Two seams stand around it. A *front* hands messages in and is told each one's single final answer ([`FrontReply`]). A
-//! *carrier* makes an attempt and tells how it ended and whether it may have run ([`AttemptEnd`]). What is to outlast
-//! the process goes through a [`Store`], in this order:
+//! The engine sits between two components. A *front* submits messages and receives one final answer for each
+//! ([`FrontReply`]). A *carrier* makes attempts and reports how each ended and whether it may have run
+//! ([`AttemptEnd`]). Data that must survive the process goes through a [`Store`], in this order:
 //!
-//! - a message is in the store before its front hears [`FrontReply::Accepted`];
-//! - an attempt is in it before its first byte ([`Engine::begin`]);
-//! - a message stays in it until its end has reached whom it concerns: at once where that is this process or the
-//!   partner, else when the front confirms it ([`Input::AnswersConfirmed`]).
+//! - a message is stored before its front receives [`FrontReply::Accepted`];
+//! - an attempt is stored before its first byte is sent ([`Engine::begin`]);
+//! - a message stays stored until its final answer is confirmed: immediately if no confirmation is needed,
+//!   else when the front confirms it ([`Input::AnswersConfirmed`]).
 //!
-//! So a process that ends at any instant leaves nothing that the next one would not know to be owed, or would
-//! take for safe to repeat.
+//! So a process can end at any point: the next one still knows of each message that needs an answer, and of
+//! each attempt that is not safe to repeat.
 #![warn(missing_docs)]
 
 mod destination_table;
 mod engine;
 mod message;
-mod open;
+mod open_messages;
 mod store;
 mod tally;
 mod timers;
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -1,169 +1,170 @@
-//! What goes in and out of the engine. Times are milliseconds of the caller's clock, spans are milliseconds.
+//! The engine's inputs and outputs. Times are milliseconds on the caller's clock; durations are milliseconds.
 
 use bytes::Bytes;
 use linenhall::{ListUpdate, Outcome};
 use std::time::Duration;
 
-/// No attempt is waited for any longer: an hour.
-const MOST_WAIT_MS: f64 = 3_600_000.0;
+/// Maximum time to wait for an attempt: one hour.
+const MAX_WAIT_MS: f64 = 3_600_000.0;
 
-/// A message as a front hands it in, read and checked.
+/// A message as a front submits it, parsed and validated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
-    /// Its sender's id for it. While it is open, a second one under this id is the same message.
+    /// The sender's id for the message. While it is open, another message with this id is a duplicate of it.
     pub call_id: String,
     /// Index of its class.
     pub class: usize,
     /// Index of its tenant.
     pub tenant: usize,
-    /// Where it is for.
+    /// The destination that it is for.
     pub destination: u64,
-    /// It may be delivered until this time.
+    /// The deadline for its delivery.
     pub due: f64,
-    /// Messages of a class in order with the same key go one at a time.
+    /// Messages of an ordered class with the same key are delivered one at a time.
     pub order_key: Option<String>,
-    /// What partners know a repeat by.
+    /// The key by which partners recognise a repeat.
     pub idempotency_key: Option<Bytes>,
-    /// What is carried. The engine doesn't look at it.
+    /// The payload. The engine does not look at it.
     pub body: Bytes,
 }
 
-/// The single final answer of a message that was taken on. `R` is what a carrier brings back.
+/// The single final answer of an accepted message. `R` is the carrier's response type.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalAnswer<R> {
-    /// Delivered, with the partner's answer.
+    /// Delivered, with the partner's response.
     Delivered(R),
-    /// Delivered, with the partner's answer, which came so near the end of the message's time that whoever counts that time
-    /// elsewhere may take it for too late.
+    /// Delivered, with the partner's response, which came so close to the message's deadline that the sender,
+    /// whose clock started earlier, may already count it as too late.
     DeliveredLate(R),
-    /// The partner says that it is over, though it was not delivered: nothing more is owed.
+    /// Not delivered, but the partner has ended the message: nothing more has to be done for it.
     EndedByPartner(Option<R>),
-    /// Given up, and handing it in again is harmless as its class sees it.
+    /// Given up. By the rules of its class it is safe to submit the message again.
     Refused {
-        /// When to come again, where the settings allow that to be told.
+        /// Milliseconds after which to retry, if the settings allow the relay to tell.
         retry_after_ms: Option<f64>,
         /// Whether an attempt may have run.
         may_have_run: bool,
-        /// What the last attempt with an answer brought.
+        /// The response to the last attempt that got one.
         last: Option<R>,
     },
-    /// Given up, with no promise.
+    /// Given up. It may not be safe to submit the message again.
     Failed {
         /// Whether an attempt may have run.
         may_have_run: bool,
-        /// What the last attempt with an answer brought.
+        /// The response to the last attempt that got one.
         last: Option<R>,
     },
 }
 
-/// The final answer of a message that was never taken on, so never tried.
+/// The final answer of a message that was not accepted and therefore never attempted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Rejection {
-    /// Come again, after this long where it is told.
+    /// The sender may retry.
     Refused {
-        /// Milliseconds.
+        /// Milliseconds after which to retry, if known.
         retry_after_ms: Option<f64>,
     },
-    /// Not to be delivered.
+    /// The message can't be delivered; a retry is of no use.
     Failed,
 }
 
-/// What a front is told. `T` is whatever it gave along with a message.
+/// A reply to a front. `T` is the ticket that the front submitted along with a message.
 #[derive(Debug, PartialEq)]
 pub enum FrontReply<T, R> {
-    /// The message is taken on: the store has it, and it gets one [`FrontReply::Final`].
+    /// The message is accepted: it is stored, and one [`FrontReply::Final`] follows for it.
     Accepted {
         /// The engine's number for it.
         id: u64,
-        /// As handed in.
+        /// The ticket that was submitted with the message.
         ticket: T,
     },
-    /// A message under this id is open already; nothing was handed in a second time.
+    /// A message with this id is already open; the duplicate is dropped.
     Duplicate {
         /// The engine's number for it.
         id: u64,
-        /// As handed in.
+        /// The ticket that was submitted with the message.
         ticket: T,
     },
-    /// The message is not taken on. There will be no other answer.
+    /// The message is not accepted. No other answer follows.
     Rejected {
-        /// As handed in.
+        /// The ticket that was submitted with the message.
         ticket: T,
-        /// What its sender is told.
+        /// The reason, for its sender.
         why: Rejection,
     },
-    /// The one final answer of a message that was taken on, perhaps by an earlier process. [`FinalAnswer::Refused`],
-    /// [`FinalAnswer::Failed`] and [`FinalAnswer::DeliveredLate`] are owed until [`Input::AnswersConfirmed`], and told again after a restart,
-    /// the last one as failed; the other two are known to the partner, and told once.
+    /// The final answer of a message that this process or an earlier one accepted. [`FinalAnswer::Refused`],
+    /// [`FinalAnswer::Failed`] and [`FinalAnswer::DeliveredLate`] are stored until
+    /// [`Input::AnswersConfirmed`], and sent again after a restart, `DeliveredLate` then as `Failed`. The
+    /// other two are sent once, as the partner knows them.
     Final {
         /// The engine's number for it.
         id: u64,
-        /// Its sender's id for it.
+        /// The sender's id for it.
         call_id: String,
         /// The answer.
         answer: FinalAnswer<R>,
     },
 }
 
-/// One attempt to be made.
+/// An attempt to make.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
     /// The message.
     pub id: u64,
-    /// Which of its attempts, counted from 0 over all processes.
+    /// The number of the attempt, counted from 0 across all processes.
     pub attempt: u32,
-    /// Where to.
+    /// The endpoint to send it to.
     pub endpoint: String,
-    /// Where the message is for.
+    /// The message's destination.
     pub destination: u64,
     /// The sender's id for the message.
     pub call_id: String,
-    /// What the partner knows a repeat by; only where the class has such keys.
+    /// The key by which the partner recognises a repeat; only for classes with such keys.
     pub idempotency_key: Option<Bytes>,
-    /// What is carried.
+    /// The payload.
     pub body: Bytes,
-    /// How long the answer is waited for.
+    /// How long to wait for the response.
     pub wait_ms: f64,
-    /// Its first byte goes out before this time, on the engine's clock, or not at all.
+    /// The first byte must be sent before this time on the engine's clock, or not at all.
     pub begin_by: f64,
 }
 
 impl Attempt {
-    /// [`Attempt::wait_ms`] as a span, an hour at most.
+    /// Returns [`Attempt::wait_ms`] as a duration of at most one hour.
     pub fn wait(&self) -> Duration {
-        Duration::from_secs_f64(self.wait_ms.clamp(0.0, MOST_WAIT_MS) / 1000.0)
+        Duration::from_secs_f64(self.wait_ms.clamp(0.0, MAX_WAIT_MS) / 1000.0)
     }
 }
 
-/// How an attempt ended, as its carrier saw it. Whether it may have run follows from the outcome
+/// How an attempt ended, as reported by its carrier. Whether it may have run follows from the outcome
 /// ([`Outcome::never_ran`]).
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd<R> {
-    /// What it came to.
+    /// The outcome.
     pub outcome: Outcome,
-    /// The message is over, and nothing more is owed.
+    /// Whether the message has ended with this attempt, so that nothing more has to be done for it.
     pub settled: bool,
-    /// A wait that was told with [`Outcome::Full`], else 0.
+    /// The Retry-After that came with [`Outcome::Full`], else 0.
     pub wait_ms: f64,
-    /// A load report, empty if there is none.
+    /// The load report, empty if there is none.
     pub report: Vec<f64>,
-    /// What came back, where something did.
+    /// The response, if there was one.
     pub response: Option<R>,
 }
 
 impl<R> AttemptEnd<R> {
-    /// An end without an answer.
+    /// Returns the end of an attempt that got no response.
     pub fn without_response(outcome: Outcome) -> AttemptEnd<R> {
         AttemptEnd { outcome, settled: false, wait_ms: 0.0, report: Vec::new(), response: None }
     }
 }
 
-/// What happens.
+/// An event for the engine to process.
 #[derive(Debug)]
 pub enum Input<T, R> {
-    /// A front hands a message in.
+    /// A front submits a message, with its ticket.
     Submitted(Box<Message>, T),
-    /// Nobody waits for this message any more. An attempt that is out may have run.
+    /// The sender no longer waits for this message. An attempt in flight may have run.
     Withdrawn {
         /// The engine's number for it.
         id: u64,
@@ -174,57 +175,58 @@
         id: u64,
         /// The attempt.
         attempt: u32,
-        /// Since it was asked for.
+        /// Time since the engine asked for the attempt.
         took_ms: f64,
-        /// How.
+        /// How it ended.
         end: AttemptEnd<R>,
     },
     /// A probe ended.
     Probed {
         /// The endpoint.
         endpoint: String,
-        /// What it came to.
+        /// The outcome.
         outcome: Outcome,
-        /// Since it was asked for.
+        /// Time since the engine asked for the probe.
         took_ms: f64,
-        /// A load report, empty if there is none.
+        /// The load report, empty if there is none.
         report: Vec<f64>,
     },
-    /// News of the list. The carrier knows it already.
+    /// An update of the host list. The carrier has already applied it.
     ListUpdate(ListUpdate),
-    /// The final answers of these messages have reached whom they concern.
+    /// The final answers of these messages have reached their recipients.
     AnswersConfirmed(Vec<u64>),
-    /// Nothing more is taken on, and no attempt is begun that may be out at this time.
+    /// The process shuts down: no message is accepted any more, and no attempt is begun that may still be in
+    /// flight at `calls_end_at`.
     Stop {
-        /// When.
+        /// When the last call must have ended.
         calls_end_at: f64,
     },
 }
 
-/// What is to be done, in this order.
+/// An action to carry out, in the order of the outputs.
 #[derive(Debug, PartialEq)]
 pub enum Output<T, R> {
-    /// For the front.
+    /// A reply for the front.
     Reply(FrontReply<T, R>),
-    /// For the carrier: make this attempt.
+    /// The carrier makes this attempt.
     Attempt(Attempt),
-    /// For the carrier: stop waiting for this one. It still ends by [`Input::Ended`].
+    /// The carrier stops waiting for this attempt. Its end is still reported by [`Input::Ended`].
     CancelAttempt {
         /// The message.
         id: u64,
         /// The attempt.
         attempt: u32,
     },
-    /// For the carrier: look how this endpoint does.
+    /// The carrier probes this endpoint.
     Probe {
-        /// Which.
+        /// The endpoint.
         endpoint: String,
     },
-    /// For the carrier: close connections to this endpoint that stand idle.
+    /// The carrier closes its idle connections to this endpoint.
     CloseIdle {
-        /// Which.
+        /// The endpoint.
         endpoint: String,
     },
-    /// A line for the log.
+    /// A log line.
     Log(String),
 }
--- a/crates/engine/src/store.rs
+++ b/crates/engine/src/store.rs
@@ -1,33 +1,34 @@
-//! What is to outlast the process.
+//! Storage for data that must survive the process.
 
 use mulleinslip_journal::{AcceptedMessage, GivenUp, Journal, OutageRecord};
 use std::fmt::Display;
 
-/// Keeps what the engine has taken on and did for it. Each call has kept what it was given when it returns `Ok`;
-/// after an error nothing of it is kept.
+/// Stores the accepted messages and the attempts made for them. A call that returns `Ok` has stored its data;
+/// one that returns an error has stored nothing of it.
 pub trait Store {
-    /// Why something could not be kept.
+    /// Why data could not be stored.
     type Error: Display;
-    /// A message is taken on. On an error it is not, and its sender is turned away.
-    fn record_accepted(&mut self, id: u64, taken: AcceptedMessage) -> Result<(), Self::Error>;
-    /// An attempt's first byte is about to go out, at this time. On an error it must not.
+    /// Records that a message is accepted. On an error it is not accepted, and its sender gets a rejection.
+    fn record_accepted(&mut self, id: u64, message: AcceptedMessage) -> Result<(), Self::Error>;
+    /// Records that an attempt's first byte is about to be sent, at time `at`. On an error it must not be
+    /// sent.
     fn record_attempt(&mut self, id: u64, attempt: u32, at: f64, endpoint: &str) -> Result<(), Self::Error>;
-    /// An attempt that had begun has an outcome, and its message goes on.
+    /// Records the outcome of an attempt that had begun, where its message stays open.
     fn record_outcome(
         &mut self, id: u64, attempt: u32, may_have_run: bool, may_run_yet: bool,
     ) -> Result<(), Self::Error>;
-    /// A message is given up; that is still to be confirmed.
-    fn record_given_up(&mut self, id: u64, verdict: GivenUp) -> Result<(), Self::Error>;
-    /// A message is over, and nothing is owed for it any more.
+    /// Records that a message is given up and that this is still to be confirmed.
+    fn record_given_up(&mut self, id: u64, given_up: GivenUp) -> Result<(), Self::Error>;
+    /// Records that a message has ended and that nothing more has to be done for it.
     fn record_ended(&mut self, id: u64) -> Result<(), Self::Error>;
-    /// The outages that the module knows of; these take the place of any told before.
+    /// Records the outages that the module knows of, in place of any recorded before.
     fn record_outages(&mut self, outages: Vec<OutageRecord>) -> Result<(), Self::Error>;
 }
 
 impl Store for Journal {
     type Error = std::io::Error;
-    fn record_accepted(&mut self, id: u64, taken: AcceptedMessage) -> Result<(), Self::Error> {
-        Journal::record_accepted(self, id, taken)
+    fn record_accepted(&mut self, id: u64, message: AcceptedMessage) -> Result<(), Self::Error> {
+        Journal::record_accepted(self, id, message)
     }
     fn record_attempt(&mut self, id: u64, attempt: u32, at: f64, endpoint: &str) -> Result<(), Self::Error> {
         Journal::record_attempt(self, id, attempt, at, endpoint)
@@ -37,8 +38,8 @@
     ) -> Result<(), Self::Error> {
         Journal::record_outcome(self, id, attempt, may_have_run, may_run_yet)
     }
-    fn record_given_up(&mut self, id: u64, verdict: GivenUp) -> Result<(), Self::Error> {
-        Journal::record_given_up(self, id, verdict)
+    fn record_given_up(&mut self, id: u64, given_up: GivenUp) -> Result<(), Self::Error> {
+        Journal::record_given_up(self, id, given_up)
     }
     fn record_ended(&mut self, id: u64) -> Result<(), Self::Error> {
         Journal::record_ended(self, id)
@@ -48,8 +49,8 @@
     }
 }
 
-/// Keeps nothing: with it, what was taken on ends with the process, and an attempt that was out then may have run
-/// without anybody knowing.
+/// Stores nothing: accepted messages are lost when the process ends, and an attempt in flight at that time
+/// may have run without any record of it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct VolatileStore;
 
--- a/crates/engine/src/tally.rs
+++ b/crates/engine/src/tally.rs
@@ -1,20 +1,20 @@
-//! How messages have ended, since the process started.
+//! Counts of how messages have ended since the process started.
 
 use crate::message::{FinalAnswer, Rejection};
 
 /// How the messages of one class have ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
-    /// Delivered.
+    /// Messages that were delivered.
     pub delivered: u64,
-    /// Refused: not taken on, or given up later with when to come again.
+    /// Messages that were refused: rejected on submission, or given up later with a time to retry after.
     pub refused: u64,
-    /// Failed.
+    /// Messages that failed.
     pub failed: u64,
 }
 
-/// Counts of ends by class. One that nobody waited for any more, and one that an earlier process had given up,
-/// stands under none.
+/// Counts of ended messages by class. Messages that their sender withdrew, and messages that an earlier
+/// process had given up, are not counted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tally(Vec<OutcomeCounts>);
 
@@ -23,29 +23,29 @@
         Tally(vec![OutcomeCounts::default(); classes])
     }
 
-    /// By index of the class.
+    /// Returns the counts, indexed by class.
     pub fn classes(&self) -> &[OutcomeCounts] {
         &self.0
     }
 
-    fn of(&mut self, class: usize, count: impl FnOnce(&mut OutcomeCounts)) {
-        if let Some(ends) = self.0.get_mut(class) {
-            count(ends);
+    fn update(&mut self, class: usize, change: impl FnOnce(&mut OutcomeCounts)) {
+        if let Some(counts) = self.0.get_mut(class) {
+            change(counts);
         }
     }
 
-    pub(crate) fn turned(&mut self, class: usize, why: &Rejection) {
-        self.of(class, |ends| match why {
-            Rejection::Refused { .. } => ends.refused += 1,
-            Rejection::Failed => ends.failed += 1,
+    pub(crate) fn count_rejection(&mut self, class: usize, why: &Rejection) {
+        self.update(class, |counts| match why {
+            Rejection::Refused { .. } => counts.refused += 1,
+            Rejection::Failed => counts.failed += 1,
         });
     }
 
-    pub(crate) fn ended<R>(&mut self, class: usize, answer: &FinalAnswer<R>) {
-        self.of(class, |ends| match answer {
-            FinalAnswer::Delivered(_) | FinalAnswer::DeliveredLate(_) => ends.delivered += 1,
-            FinalAnswer::Refused { .. } => ends.refused += 1,
-            FinalAnswer::Failed { .. } => ends.failed += 1,
+    pub(crate) fn count_final_answer<R>(&mut self, class: usize, answer: &FinalAnswer<R>) {
+        self.update(class, |counts| match answer {
+            FinalAnswer::Delivered(_) | FinalAnswer::DeliveredLate(_) => counts.delivered += 1,
+            FinalAnswer::Refused { .. } => counts.refused += 1,
+            FinalAnswer::Failed { .. } => counts.failed += 1,
             FinalAnswer::EndedByPartner(_) => {}
         });
     }
--- a/crates/engine/src/untried.rs
+++ b/crates/engine/src/untried.rs
@@ -1,123 +1,129 @@
-//! What a start finds taken on by an earlier process and untried, and what becomes of it: counted, and told in one line once
-//! the last of it has been tried or has ended. Decides nothing.
+//! Counts the untried messages that a restart finds, and what becomes of them. Writes one log line once the
+//! last of them has been tried or has ended. This is for the log only: nothing depends on it.
 
 use linenhall::Outcome;
 use std::collections::HashMap;
 use std::fmt;
 
-/// How long before its end a message is given up at most, in milliseconds: two ticks, and as long again as it takes to answer
-/// all that end together.
-const NEAR_MS: f64 = 100.0;
+/// A message given up less than this before its deadline counts as out of time: two ticks of the module, and
+/// some time to answer all messages that end together.
+const NEAR_DEADLINE_MS: f64 = 100.0;
 
-/// Why a message was given up with no call.
+/// Why a message ended without a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Why {
-    /// Its time was over when the process started.
-    OverAtStart,
-    /// Its time ran out later, and its destination had told a wait beyond it.
-    ToldWait,
-    /// Its time ran out later.
-    TimeOver,
-    /// The settings have no such class any more.
-    NoClass,
-    /// There was time left.
+enum Cause {
+    /// Its deadline had passed when the process started.
+    ExpiredAtStart,
+    /// Its deadline passed later, and its destination had sent a Retry-After that ends beyond the deadline.
+    RetryAfterTooLong,
+    /// Its deadline passed later.
+    Expired,
+    /// Its class is no longer in the settings.
+    UnknownClass,
+    /// It was given up before its deadline.
     Early,
-    /// Nobody waited for it any more.
+    /// Its sender withdrew it.
     Withdrawn,
 }
 
-const WHYS: [(Why, &str); 6] = [
-    (Why::OverAtStart, "out of time at the start"),
-    (Why::ToldWait, "told to wait beyond their time"),
-    (Why::TimeOver, "out of time later"),
-    (Why::NoClass, "of a class that is no more"),
-    (Why::Early, "given up with time left"),
-    (Why::Withdrawn, "withdrawn"),
+const CAUSES: [(Cause, &str); 6] = [
+    (Cause::ExpiredAtStart, "out of time at the start"),
+    (Cause::RetryAfterTooLong, "told to wait beyond their time"),
+    (Cause::Expired, "out of time later"),
+    (Cause::UnknownClass, "of a class that is no more"),
+    (Cause::Early, "given up with time left"),
+    (Cause::Withdrawn, "withdrawn"),
 ];
 
-/// Counts over one start.
+/// Counts for one restart.
 #[derive(Debug, Default)]
-pub struct Untried {
-    /// Untried yet: until when they may be delivered, and their destinations. As many as the earlier process held.
-    open: HashMap<u64, (f64, u64)>,
-    /// Until when destinations of these told to wait.
-    waits: HashMap<u64, f64>,
+pub struct UntriedStats {
+    /// Messages still untried, with their deadlines and destinations. At most as many as the earlier process
+    /// had queued.
+    pending: HashMap<u64, (f64, u64)>,
+    /// When the Retry-After of each destination ends.
+    retry_afters: HashMap<u64, f64>,
     found: usize,
     tried: usize,
-    given_up: [usize; WHYS.len()],
+    given_up: [usize; CAUSES.len()],
 }
 
-impl Untried {
-    /// The earlier process had taken this message on and begun no attempt.
-    pub fn found(&mut self, id: u64, due: f64, destination: u64) {
+impl UntriedStats {
+    /// Registers a message that the earlier process had accepted and begun no attempt for.
+    pub fn add(&mut self, id: u64, due: f64, destination: u64) {
         self.found += 1;
-        self.open.insert(id, (due, destination));
+        self.pending.insert(id, (due, destination));
     }
 
-    /// An attempt's first byte goes out.
-    pub fn begun(&mut self, id: u64) {
-        self.tried += usize::from(self.open.remove(&id).is_some());
+    /// Called when an attempt's first byte is sent.
+    pub fn attempt_begun(&mut self, id: u64) {
+        self.tried += usize::from(self.pending.remove(&id).is_some());
     }
 
-    /// An attempt has ended, at a destination that told this wait, or 0. A connection that is refused is a call that was made.
-    pub fn ended(&mut self, id: u64, destination: u64, outcome: Outcome, wait_until: f64) {
+    /// Called when an attempt has ended. `retry_after_until` is the end of the Retry-After that came with it,
+    /// or 0. A refused connection counts as a call.
+    pub fn attempt_ended(&mut self, id: u64, destination: u64, outcome: Outcome, retry_after_until: f64) {
         if outcome == Outcome::NoConnection {
-            self.begun(id);
+            self.attempt_begun(id);
         }
-        if wait_until > 0.0 && !self.open.is_empty() {
-            let wait = self.waits.entry(destination).or_insert(wait_until);
-            *wait = wait.max(wait_until);
+        if retry_after_until > 0.0 && !self.pending.is_empty() {
+            let until = self.retry_afters.entry(destination).or_insert(retry_after_until);
+            *until = until.max(retry_after_until);
         }
     }
 
-    /// Given up.
+    /// Called when a message is given up.
     pub fn given_up(&mut self, id: u64, now: f64, at_start: bool, known_class: bool) {
-        let Some((due, destination)) = self.open.get(&id).copied() else { return };
-        let near = due - now <= NEAR_MS;
-        self.over(
+        let Some((due, destination)) = self.pending.get(&id).copied() else { return };
+        let near_deadline = due - now <= NEAR_DEADLINE_MS;
+        self.remove(
             id,
             match at_start {
-                _ if !known_class => Why::NoClass,
-                true if near => Why::OverAtStart,
-                _ if near && self.waits.get(&destination).is_some_and(|until| *until >= due) => Why::ToldWait,
-                _ if near => Why::TimeOver,
-                _ => Why::Early,
+                _ if !known_class => Cause::UnknownClass,
+                true if near_deadline => Cause::ExpiredAtStart,
+                _ if near_deadline
+                    && self.retry_afters.get(&destination).is_some_and(|until| *until >= due) =>
+                {
+                    Cause::RetryAfterTooLong
+                }
+                _ if near_deadline => Cause::Expired,
+                _ => Cause::Early,
             },
         );
     }
 
-    /// Nobody waits for it any more.
+    /// Called when a sender withdraws its message.
     pub fn withdrawn(&mut self, id: u64) {
-        self.over(id, Why::Withdrawn);
+        self.remove(id, Cause::Withdrawn);
     }
 
-    fn over(&mut self, id: u64, why: Why) {
-        if self.open.remove(&id).is_some() {
-            let at = WHYS.iter().position(|w| w.0 == why);
-            at.and_then(|at| self.given_up.get_mut(at)).into_iter().for_each(|n| *n += 1);
+    fn remove(&mut self, id: u64, cause: Cause) {
+        if self.pending.remove(&id).is_some() {
+            let index = CAUSES.iter().position(|c| c.0 == cause);
+            index.and_then(|index| self.given_up.get_mut(index)).into_iter().for_each(|n| *n += 1);
         }
     }
 
-    /// The line for the log, once: when none is untried any more.
-    pub fn line(&mut self) -> Option<String> {
-        if self.found == 0 || !self.open.is_empty() {
+    /// Returns the log line, once: when no message is untried any more.
+    pub fn take_log_line(&mut self) -> Option<String> {
+        if self.found == 0 || !self.pending.is_empty() {
             return None;
         }
-        let all = std::mem::take(self);
-        Some(all.to_string())
+        let counts = std::mem::take(self);
+        Some(counts.to_string())
     }
 }
 
-impl fmt::Display for Untried {
+impl fmt::Display for UntriedStats {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let none = self.found - self.tried;
+        let not_tried = self.found - self.tried;
         write!(
             f,
-            "found {} taken on and untried: {} tried, {none} given up with no call",
+            "found {} taken on and untried: {} tried, {not_tried} given up with no call",
             self.found, self.tried
         )?;
-        let why = WHYS.iter().zip(self.given_up).filter(|x| x.1 > 0);
-        why.enumerate().try_for_each(|(n, ((_, words), count))| {
+        let causes = CAUSES.iter().zip(self.given_up).filter(|x| x.1 > 0);
+        causes.enumerate().try_for_each(|(n, ((_, words), count))| {
             write!(f, "{} {count} {words}", if n == 0 { ":" } else { "," })
         })
     }
@@ -127,24 +133,26 @@
 mod tests {
     use super::*;
 
+    /// Guards against a log line that is missing, repeated or early, or that counts a message under a wrong
+    /// cause.
     #[test]
-    fn one_line_when_the_last_has_ended_with_each_cause() {
-        let mut u = Untried::default();
-        assert_eq!(u.line(), None, "nothing was found");
-        (1..=7).for_each(|id| u.found(id, 1000.0, id % 2));
-        u.given_up(1, 1100.0, true, true);
-        u.begun(2);
-        u.begun(2);
-        u.ended(3, 1, Outcome::NoConnection, 0.0);
-        u.given_up(4, 10.0, true, false);
-        u.given_up(5, 500.0, false, true);
-        u.ended(99, 0, Outcome::Full, 1200.0);
-        u.given_up(6, 990.0, false, true);
-        assert_eq!(u.line(), None, "one is untried yet");
-        u.given_up(7, 990.0, false, true);
+    fn logs_each_cause_in_one_line_after_the_last_message_ended() {
+        let mut untried = UntriedStats::default();
+        assert_eq!(untried.take_log_line(), None, "a line although no message was found");
+        (1..=7).for_each(|id| untried.add(id, 1000.0, id % 2));
+        untried.given_up(1, 1100.0, true, true);
+        untried.attempt_begun(2);
+        untried.attempt_begun(2);
+        untried.attempt_ended(3, 1, Outcome::NoConnection, 0.0);
+        untried.given_up(4, 10.0, true, false);
+        untried.given_up(5, 500.0, false, true);
+        untried.attempt_ended(99, 0, Outcome::Full, 1200.0);
+        untried.given_up(6, 990.0, false, true);
+        assert_eq!(untried.take_log_line(), None, "a line although one message is still untried");
+        untried.given_up(7, 990.0, false, true);
         let line = "found 7 taken on and untried: 2 tried, 5 given up with no call: 1 out of time at the start, 1 told to wait \
                     beyond their time, 1 out of time later, 1 of a class that is no more, 1 given up with time left";
-        assert_eq!(u.line().as_deref(), Some(line));
-        assert_eq!(u.line(), None, "told once");
+        assert_eq!(untried.take_log_line().as_deref(), Some(line));
+        assert_eq!(untried.take_log_line(), None, "the line came a second time");
     }
 }
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! The engine without sockets: partners, a store and crashes, all from one seed. Every rule that can be broken is
-//! looked at as it happens.
+//! A simulated environment for the engine, without sockets: partners, a store and crashes, all from one
+//! random seed. The rules for deliveries and answers are checked at each event.
 use linenhall::{Class, DedupScope, Effect, Endpoint, EndpointStatus, ListUpdate, Outcome, Settings};
 use mulleinslip_engine::journal::{
-    AcceptedMessage, Attempt as Tried, GivenUp, OutageRecord, RecoveredMessage, RecoveredState,
+    AcceptedMessage, Attempt as RecordedAttempt, GivenUp, OutageRecord, RecoveredMessage, RecoveredState,
 };
 use mulleinslip_engine::{
     Attempt, AttemptEnd, Engine, FinalAnswer, FrontReply, Input, Message, Names, Output, Predecessor,
@@ -61,85 +61,95 @@
     Names { classes: CLASSES.iter().map(|c| c.0.to_string()).collect(), tenants: vec!["acme".into()] }
 }
 
-/// What outlasts a crash.
+/// State of the store, which survives a crash.
 #[derive(Default)]
-pub struct Lasting {
-    pub kept: BTreeMap<u64, RecoveredMessage>,
+pub struct StoredState {
+    pub messages: BTreeMap<u64, RecoveredMessage>,
     pub outages: Vec<OutageRecord>,
-    /// Calls that fail from now on: none, those that may be refused, or all.
-    pub fails: Fails,
+    /// Which calls to the store fail from now on.
+    pub failure: StoreFailure,
     pub writes: u64,
 }
 
 #[derive(Clone, Copy, Default, PartialEq)]
-pub enum Fails {
+pub enum StoreFailure {
     #[default]
-    Nothing,
-    /// A full disk: new messages and attempts find no room, ends do.
+    None,
+    /// A full disk: new messages and attempts can't be recorded, ends can.
     Full,
 }
 
 #[derive(Clone, Default)]
-pub struct Memory(pub Rc<RefCell<Lasting>>);
+pub struct MemoryStore(pub Rc<RefCell<StoredState>>);
 
-impl Memory {
-    pub fn left(&self) -> RecoveredState {
-        let kept = self.0.borrow();
+impl MemoryStore {
+    pub fn recover(&self) -> RecoveredState {
+        let state = self.0.borrow();
         RecoveredState {
-            messages: kept.kept.values().cloned().collect(),
-            outages: kept.outages.clone(),
+            messages: state.messages.values().cloned().collect(),
+            outages: state.outages.clone(),
             ..RecoveredState::default()
         }
     }
 
-    fn of(&mut self, id: u64, change: impl FnOnce(&mut RecoveredMessage)) -> Result<(), &'static str> {
-        let mut all = self.0.borrow_mut();
-        all.writes += 1;
-        if let Some(kept) = all.kept.get_mut(&id) {
-            change(kept);
+    fn update(&mut self, id: u64, change: impl FnOnce(&mut RecoveredMessage)) -> Result<(), &'static str> {
+        let mut state = self.0.borrow_mut();
+        state.writes += 1;
+        if let Some(message) = state.messages.get_mut(&id) {
+            change(message);
         }
         Ok(())
     }
 }
 
-impl Store for Memory {
+impl Store for MemoryStore {
     type Error = &'static str;
-    fn record_accepted(&mut self, id: u64, taken: AcceptedMessage) -> Result<(), Self::Error> {
-        let mut all = self.0.borrow_mut();
-        if all.fails == Fails::Full {
-            return Err("no room");
+    fn record_accepted(&mut self, id: u64, message: AcceptedMessage) -> Result<(), Self::Error> {
+        let mut state = self.0.borrow_mut();
+        if state.failure == StoreFailure::Full {
+            return Err("disk full");
         }
-        all.writes += 1;
-        let fresh = all
-            .kept
-            .insert(id, RecoveredMessage { id, message: taken, attempts: Vec::new(), given_up: None });
-        assert!(fresh.is_none(), "number {id} is given out twice");
+        state.writes += 1;
+        let previous =
+            state.messages.insert(id, RecoveredMessage { id, message, attempts: Vec::new(), given_up: None });
+        assert!(previous.is_none(), "number {id} was assigned twice");
         Ok(())
     }
     fn record_attempt(&mut self, id: u64, number: u32, at: f64, endpoint: &str) -> Result<(), Self::Error> {
-        if self.0.borrow().fails == Fails::Full {
-            return Err("no room");
+        if self.0.borrow().failure == StoreFailure::Full {
+            return Err("disk full");
         }
         let endpoint = endpoint.to_string();
-        self.of(id, |k| {
-            assert!(k.attempts.iter().all(|a| a.number != number), "attempt {number} of {id} begun twice");
-            k.attempts.push(Tried { number, at, endpoint, may_have_run: true, may_run_yet: true });
+        self.update(id, |message| {
+            assert!(
+                message.attempts.iter().all(|a| a.number != number),
+                "attempt {number} of message {id} was begun twice"
+            );
+            message.attempts.push(RecordedAttempt {
+                number,
+                at,
+                endpoint,
+                may_have_run: true,
+                may_run_yet: true,
+            });
         })
     }
-    fn record_outcome(&mut self, id: u64, number: u32, ran: bool, runs_yet: bool) -> Result<(), Self::Error> {
-        self.of(id, |k| {
-            for a in k.attempts.iter_mut().filter(|a| a.number == number) {
-                (a.may_have_run, a.may_run_yet) = (ran, runs_yet);
+    fn record_outcome(
+        &mut self, id: u64, number: u32, may_have_run: bool, may_run_yet: bool,
+    ) -> Result<(), Self::Error> {
+        self.update(id, |message| {
+            for a in message.attempts.iter_mut().filter(|a| a.number == number) {
+                (a.may_have_run, a.may_run_yet) = (may_have_run, may_run_yet);
             }
         })
     }
-    fn record_given_up(&mut self, id: u64, verdict: GivenUp) -> Result<(), Self::Error> {
-        self.of(id, |k| k.given_up = Some(verdict))
+    fn record_given_up(&mut self, id: u64, given_up: GivenUp) -> Result<(), Self::Error> {
+        self.update(id, |message| message.given_up = Some(given_up))
     }
     fn record_ended(&mut self, id: u64) -> Result<(), Self::Error> {
-        let mut all = self.0.borrow_mut();
-        all.writes += 1;
-        all.kept.remove(&id);
+        let mut state = self.0.borrow_mut();
+        state.writes += 1;
+        state.messages.remove(&id);
         Ok(())
     }
     fn record_outages(&mut self, outages: Vec<OutageRecord>) -> Result<(), Self::Error> {
@@ -148,23 +158,23 @@
     }
 }
 
-/// How a partner takes an attempt at the moment.
+/// How a partner handles attempts at the moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Mood {
-    Well,
+enum Behaviour {
+    Healthy,
     Refusing,
-    /// It runs, and the answer is lost.
-    Losing,
-    Silent,
+    /// The call runs, but its response is lost.
+    LosingResponses,
+    NotResponding,
     Failing,
-    /// Full, and tells a wait.
-    Waiting,
+    /// The partner is full and sends a Retry-After.
+    SendingRetryAfter,
 }
 
-/// What is to happen in the world.
-enum Due {
+/// A scheduled event of the simulation.
+enum Scheduled {
     Begin(Attempt),
-    /// The partner runs it.
+    /// The partner runs the call.
     Run {
         call_id: String,
         class: usize,
@@ -181,64 +191,65 @@
     Confirm(u64),
 }
 
-/// What is known of a message outside the engine.
+/// What the environment knows of a message.
 #[derive(Default)]
-pub struct Sent {
+pub struct MessageState {
     class: usize,
     order_key: Option<String>,
     destination: u64,
-    taken: bool,
-    turned: bool,
+    accepted: bool,
+    rejected: bool,
     withdrawn: bool,
+    /// When the partner ran it.
     runs: Vec<f64>,
     effects: u32,
-    /// Answers told, and whether the last was confirmed.
+    /// Final answers, and whether the last one was confirmed.
     answers: Vec<FinalAnswer<u32>>,
     confirmed: bool,
 }
 
-pub struct World {
+pub struct Simulation {
     seed: u64,
     random: fastrand::Rng,
     pub now: f64,
-    engine: Engine<Memory, u32>,
-    pub store: Memory,
-    /// By time and number.
-    due: BTreeMap<(u64, u64), Due>,
-    number: u64,
-    pub sent: HashMap<String, Sent>,
-    /// The engine's numbers of this process.
-    ids: HashMap<u64, String>,
-    /// Attempts out, of this process.
-    out: HashSet<(u64, u32)>,
-    moods: HashMap<u64, Mood>,
-    /// Told waits of this process.
-    waits: HashMap<u64, f64>,
+    engine: Engine<MemoryStore, u32>,
+    pub store: MemoryStore,
+    /// By time in microseconds and sequence number.
+    scheduled: BTreeMap<(u64, u64), Scheduled>,
+    sequence: u64,
+    pub messages: HashMap<String, MessageState>,
+    /// Call ids by the engine's message numbers, of the current process.
+    call_ids: HashMap<u64, String>,
+    /// Attempts in flight, of the current process.
+    in_flight: HashSet<(u64, u32)>,
+    behaviours: HashMap<u64, Behaviour>,
+    /// When the Retry-After of each destination ends, of the current process.
+    retry_afters: HashMap<u64, f64>,
     stopping: bool,
     pub crashes: u32,
 }
 
-impl World {
-    pub fn new(seed: u64) -> World {
-        let store = Memory::default();
-        let mut world = World {
+impl Simulation {
+    pub fn new(seed: u64) -> Simulation {
+        let store = MemoryStore::default();
+        let mut simulation = Simulation {
             seed,
             random: fastrand::Rng::with_seed(seed),
             now: 1_000_000.0,
             engine: Engine::new(settings(), seed, names(), store.clone()),
             store,
-            due: BTreeMap::new(),
-            number: 0,
-            sent: HashMap::new(),
-            ids: HashMap::new(),
-            out: HashSet::new(),
-            moods: HashMap::new(),
-            waits: HashMap::new(),
+            scheduled: BTreeMap::new(),
+            sequence: 0,
+            messages: HashMap::new(),
+            call_ids: HashMap::new(),
+            in_flight: HashSet::new(),
+            behaviours: HashMap::new(),
+            retry_afters: HashMap::new(),
             stopping: false,
             crashes: 0,
         };
-        world.start(RecoveredState::default());
-        world
+        simulation.start(RecoveredState::default());
+        simulation
     }
 
     fn list() -> ListUpdate {
@@ -253,46 +264,52 @@
         ListUpdate::Full((0..2 * DESTINATIONS).map(host).collect())
     }
 
-    fn start(&mut self, left: RecoveredState) {
-        self.ids = left.messages.iter().map(|k| (k.id, k.message.call_id.clone())).collect();
-        let mut out = Vec::new();
-        self.engine.restore(self.now, vec![World::list()], left, &Predecessor::default(), &mut out);
-        self.act(out);
+    fn start(&mut self, recovered: RecoveredState) {
+        self.call_ids = recovered.messages.iter().map(|m| (m.id, m.message.call_id.clone())).collect();
+        let mut outputs = Vec::new();
+        self.engine.restore(
+            self.now,
+            vec![Simulation::list()],
+            recovered,
+            &Predecessor::default(),
+            &mut outputs,
+        );
+        self.perform(outputs);
     }
 
-    /// The process is killed, and the next one starts from what the store has. What was sent may yet run.
+    /// The process is killed, and the next one starts from the store. Calls that were sent may still run.
     pub fn crash(&mut self) {
         self.crashes += 1;
-        self.due.retain(|_, due| matches!(due, Due::Run { .. }));
-        self.out.clear();
-        self.waits.clear();
+        self.scheduled.retain(|_, event| matches!(event, Scheduled::Run { .. }));
+        self.in_flight.clear();
+        self.retry_afters.clear();
         self.stopping = false;
         self.now += self.random.f64() * 300.0;
         self.engine = Engine::new(settings(), self.random.u64(..), names(), self.store.clone());
-        let left = self.store.left();
-        self.start(left);
+        let recovered = self.store.recover();
+        self.start(recovered);
     }
 
     pub fn stop(&mut self) {
         self.stopping = true;
         let calls_end_at = self.now + 1000.0;
-        self.give(vec![Input::Stop { calls_end_at }]);
+        self.handle(vec![Input::Stop { calls_end_at }]);
     }
 
-    fn at(&mut self, time: f64, due: Due) {
-        self.number += 1;
-        self.due.insert(((time * 1000.0) as u64, self.number), due);
+    fn schedule(&mut self, time: f64, event: Scheduled) {
+        self.sequence += 1;
+        self.scheduled.insert(((time * 1000.0) as u64, self.sequence), event);
     }
 
-    fn give(&mut self, inputs: Vec<Input<String, u32>>) {
-        let mut out = Vec::new();
-        self.engine.handle(self.now, inputs, &mut out);
-        self.act(out);
+    fn handle(&mut self, inputs: Vec<Input<String, u32>>) {
+        let mut outputs = Vec::new();
+        self.engine.handle(self.now, inputs, &mut outputs);
+        self.perform(outputs);
     }
 
-    /// One message more, of any kind.
+    /// Submits one message of a random class and destination.
     pub fn submit(&mut self) {
-        let call_id = format!("m{}", self.sent.len());
+        let call_id = format!("m{}", self.messages.len());
         let class = self.random.usize(..CLASSES.len());
         let destination = self.random.u64(..DESTINATIONS);
         let order_key = CLASSES[class].2.then(|| format!("k{destination}"));
@@ -306,270 +323,345 @@
             idempotency_key: Some(call_id.clone().into()),
             body: call_id.clone().into(),
         };
-        let sent = Sent { class, order_key, destination, ..Sent::default() };
-        self.sent.insert(call_id.clone(), sent);
-        self.give(vec![Input::Submitted(Box::new(message), call_id)]);
+        let state = MessageState { class, order_key, destination, ..MessageState::default() };
+        self.messages.insert(call_id.clone(), state);
+        self.handle(vec![Input::Submitted(Box::new(message), call_id)]);
     }
 
-    /// Whoever handed in one of the open messages goes away.
+    /// The sender of one of the open messages withdraws it.
     pub fn withdraw_one(&mut self) {
-        let open = |s: &Sent| s.taken && s.answers.is_empty() && !s.withdrawn;
-        let mut ids: Vec<u64> =
-            self.ids.iter().filter(|(_, c)| self.sent.get(*c).is_some_and(open)).map(|(id, _)| *id).collect();
+        let open = |s: &MessageState| s.accepted && s.answers.is_empty() && !s.withdrawn;
+        let mut ids: Vec<u64> = self
+            .call_ids
+            .iter()
+            .filter(|(_, c)| self.messages.get(*c).is_some_and(open))
+            .map(|(id, _)| *id)
+            .collect();
         ids.sort();
         if let Some(id) = self.random.choice(ids) {
-            let sent = self.ids.get(&id).and_then(|c| self.sent.get_mut(c));
-            sent.into_iter().for_each(|s| s.withdrawn = true);
-            self.give(vec![Input::Withdrawn { id }]);
+            let state = self.call_ids.get(&id).and_then(|c| self.messages.get_mut(c));
+            state.into_iter().for_each(|s| s.withdrawn = true);
+            self.handle(vec![Input::Withdrawn { id }]);
         }
     }
 
-    pub fn change_a_mood(&mut self) {
-        let moods = [Mood::Well, Mood::Refusing, Mood::Losing, Mood::Silent, Mood::Failing, Mood::Waiting];
-        let mood = moods[self.random.usize(..moods.len())];
-        self.moods.insert(self.random.u64(..DESTINATIONS), mood);
+    pub fn change_a_behaviour(&mut self) {
+        let behaviours = [
+            Behaviour::Healthy,
+            Behaviour::Refusing,
+            Behaviour::LosingResponses,
+            Behaviour::NotResponding,
+            Behaviour::Failing,
+            Behaviour::SendingRetryAfter,
+        ];
+        let behaviour = behaviours[self.random.usize(..behaviours.len())];
+        self.behaviours.insert(self.random.u64(..DESTINATIONS), behaviour);
     }
 
-    pub fn all_well(&mut self) {
-        self.moods.clear();
+    pub fn make_all_healthy(&mut self) {
+        self.behaviours.clear();
     }
 
-    /// Lets time pass, with all that happens in it.
-    pub fn pass(&mut self, ms: f64) {
+    /// Advances the time, with all events that are due.
+    pub fn advance(&mut self, ms: f64) {
         let until = self.now + ms;
         loop {
-            let due = self.due.keys().next().map_or(f64::MAX, |k| k.0 as f64 / 1000.0);
+            let event_time = self.scheduled.keys().next().map_or(f64::MAX, |k| k.0 as f64 / 1000.0);
             let timer = self.engine.next_timer().unwrap_or(f64::MAX);
-            let next = due.min(timer);
+            let next = event_time.min(timer);
             if next > until {
                 self.now = until;
                 return;
             }
             self.now = self.now.max(next);
-            if timer <= due {
-                self.give(Vec::new());
-            } else if let Some((_, due)) = self.due.pop_first() {
-                self.happen(due);
+            if timer <= event_time {
+                self.handle(Vec::new());
+            } else if let Some((_, event)) = self.scheduled.pop_first() {
+                self.run_event(event);
             }
         }
     }
 
-    fn happen(&mut self, due: Due) {
-        match due {
-            Due::Begin(attempt) => self.begin(attempt),
-            Due::Run { call_id, class, order_key, destination, at } => {
-                self.run(call_id, class, order_key, destination, at)
+    fn run_event(&mut self, event: Scheduled) {
+        match event {
+            Scheduled::Begin(attempt) => self.begin(attempt),
+            Scheduled::Run { call_id, class, order_key, destination, at } => {
+                self.run_call(call_id, class, order_key, destination, at)
             }
-            Due::End { id, attempt, sent, end } => {
-                if self.out.remove(&(id, attempt)) {
+            Scheduled::End { id, attempt, sent, end } => {
+                if self.in_flight.remove(&(id, attempt)) {
                     let took_ms = self.now - sent;
-                    self.give(vec![Input::Ended { id, attempt, took_ms, end }]);
+                    self.handle(vec![Input::Ended { id, attempt, took_ms, end }]);
                 }
             }
-            Due::Confirm(id) => {
-                let sent = self.ids.get(&id).and_then(|c| self.sent.get_mut(c));
-                sent.into_iter().for_each(|s| s.confirmed = true);
-                self.give(vec![Input::AnswersConfirmed(vec![id])]);
+            Scheduled::Confirm(id) => {
+                let state = self.call_ids.get(&id).and_then(|c| self.messages.get_mut(c));
+                state.into_iter().for_each(|s| s.confirmed = true);
+                self.handle(vec![Input::AnswersConfirmed(vec![id])]);
             }
         }
     }
 
-    /// An attempt's connection is up.
+    /// The connection for an attempt is established.
     fn begin(&mut self, attempt: Attempt) {
         let (id, number, now) = (attempt.id, attempt.attempt, self.now);
-        let mood = self.moods.get(&attempt.destination).copied().unwrap_or(Mood::Well);
-        let refused = mood == Mood::Refusing;
-        let waits = self.waits.get(&attempt.destination).is_some_and(|until| *until > now);
-        if refused || waits || self.engine.begin(now, id, number, &attempt.endpoint).is_err() {
+        let behaviour = self.behaviours.get(&attempt.destination).copied().unwrap_or(Behaviour::Healthy);
+        let refused = behaviour == Behaviour::Refusing;
+        let must_wait = self.retry_afters.get(&attempt.destination).is_some_and(|until| *until > now);
+        if refused || must_wait || self.engine.begin(now, id, number, &attempt.endpoint).is_err() {
             let outcome = if refused { Outcome::NoConnection } else { Outcome::NotSent };
             let end = AttemptEnd::without_response(outcome);
-            return self.at(now, Due::End { id, attempt: number, sent: now, end });
+            return self.schedule(now, Scheduled::End { id, attempt: number, sent: now, end });
         }
-        let kept = self.store.0.borrow().kept.get(&id).cloned();
-        let kept = kept.expect("an attempt of a message that the store has");
+        let stored = self.store.0.borrow().messages.get(&id).cloned();
+        let stored = stored.expect("an attempt was made for a message that is not in the store");
         assert!(
-            kept.attempts.iter().any(|a| a.number == number),
-            "an attempt is in the store before it is sent"
+            stored.attempts.iter().any(|a| a.number == number),
+            "an attempt was sent before it was in the store"
         );
-        let took = 5.0 + self.random.f64() * 60.0;
-        let sent = self.sent.get(&attempt.call_id).expect("a message that was handed in");
-        if let Some(key) = &sent.order_key {
+        let took_ms = 5.0 + self.random.f64() * 60.0;
+        let state =
+            self.messages.get(&attempt.call_id).expect("an attempt of a message that was never submitted");
+        if let Some(key) = &state.order_key {
             let number = |id: &str| id[1..].parse::<u64>().unwrap_or(0);
-            let delivered = |s: &Sent| matches!(s.answers.last(), Some(FinalAnswer::Delivered(_)));
-            let owed = self.sent.iter().find(|(id, s)| {
+            let delivered = |s: &MessageState| matches!(s.answers.last(), Some(FinalAnswer::Delivered(_)));
+            let unanswered = self.messages.iter().find(|(id, s)| {
                 s.order_key.as_ref() == Some(key)
                     && number(id) < number(&attempt.call_id)
-                    && s.taken
+                    && s.accepted
                     && !(s.confirmed || s.withdrawn || delivered(s))
             });
-            let owed = owed.map(|(id, _)| id);
-            assert!(owed.is_none(), "seed {}: {} goes, {owed:?} is owed", self.seed, attempt.call_id);
+            let unanswered = unanswered.map(|(id, _)| id);
+            assert!(
+                unanswered.is_none(),
+                "seed {}: {} was sent before {unanswered:?} of its key had an answer",
+                self.seed,
+                attempt.call_id
+            );
         }
-        let (class, order_key, destination) = (sent.class, sent.order_key.clone(), sent.destination);
+        let (class, order_key, destination) = (state.class, state.order_key.clone(), state.destination);
         let call_id = attempt.call_id.clone();
-        let run = Due::Run { call_id, class, order_key, destination, at: now };
-        let patience = attempt.wait_ms.min(200.0);
-        let (ran, after, end) = match mood {
-            Mood::Well => {
-                let good = AttemptEnd {
+        let run = Scheduled::Run { call_id, class, order_key, destination, at: now };
+        let time_limit_ms = attempt.wait_ms.min(200.0);
+        let (ran, after_ms, end) = match behaviour {
+            Behaviour::Healthy => {
+                let delivered = AttemptEnd {
                     settled: true,
                     response: Some(number),
                     ..AttemptEnd::without_response(Outcome::Delivered)
                 };
-                (true, took, good)
+                (true, took_ms, delivered)
             }
-            Mood::Losing => (true, took, AttemptEnd::without_response(Outcome::Broken)),
-            Mood::Silent => (self.random.bool(), patience, AttemptEnd::without_response(Outcome::TimedOut)),
-            Mood::Failing => {
+            Behaviour::LosingResponses => (true, took_ms, AttemptEnd::without_response(Outcome::Broken)),
+            Behaviour::NotResponding => {
+                (self.random.bool(), time_limit_ms, AttemptEnd::without_response(Outcome::TimedOut))
+            }
+            Behaviour::Failing => {
                 let end =
                     AttemptEnd { response: Some(number), ..AttemptEnd::without_response(Outcome::Error) };
-                (self.random.bool(), took, end)
+                (self.random.bool(), took_ms, end)
             }
-            Mood::Waiting => {
-                (false, took, AttemptEnd { wait_ms: 400.0, ..AttemptEnd::without_response(Outcome::Full) })
+            Behaviour::SendingRetryAfter => {
+                (false, took_ms, AttemptEnd { wait_ms: 400.0, ..AttemptEnd::without_response(Outcome::Full) })
             }
-            Mood::Refusing => unreachable!("above"),
+            Behaviour::Refusing => unreachable!("refused attempts have returned above"),
         };
         if ran {
-            let within = after * self.random.f64();
-            self.at(now + within, run);
+            let run_after_ms = after_ms * self.random.f64();
+            self.schedule(now + run_after_ms, run);
         }
-        self.at(now + after, Due::End { id, attempt: number, sent: now, end });
+        self.schedule(now + after_ms, Scheduled::End { id, attempt: number, sent: now, end });
     }
 
-    fn run(&mut self, call_id: String, class: usize, order_key: Option<String>, destination: u64, at: f64) {
+    fn run_call(
+        &mut self, call_id: String, class: usize, order_key: Option<String>, destination: u64, at: f64,
+    ) {
         let seed = self.seed;
         if let Some(key) = order_key {
             let number = |id: &str| id[1..].parse::<u64>().unwrap_or(0);
-            let later = self.sent.iter().find(|(id, s)| {
+            let later = self.messages.iter().find(|(id, s)| {
                 s.order_key.as_ref() == Some(&key) && number(id) > number(&call_id) && !s.runs.is_empty()
             });
-            assert!(later.is_none(), "seed {seed}: {call_id} ran after a later one of its key");
+            assert!(later.is_none(), "seed {seed}: {call_id} ran after a later message of its key");
         }
-        let sent = self.sent.get_mut(&call_id).expect("handed in");
-        assert!(!sent.turned, "seed {seed}: {call_id} ran, and was turned away");
-        let first = sent.runs.first().copied();
-        sent.runs.push(at);
-        // A keyed one has no effect again while the partner remembers it.
-        let remembered =
+        let state = self.messages.get_mut(&call_id).expect("a message ran that was never submitted");
+        assert!(!state.rejected, "seed {seed}: {call_id} ran although it was rejected");
+        let first = state.runs.first().copied();
+        state.runs.push(at);
+        // A repeat of a keyed message has no effect within the partner's deduplication window.
+        let duplicate =
             CLASSES[class].1 == Effect::Keyed && first.is_some_and(|first| at < first + WINDOW_MS);
-        sent.effects += u32::from(!remembered);
-        let once = CLASSES[class].1 != Effect::Safe;
-        assert!(!once || sent.effects <= 1, "seed {seed}: {call_id} to {destination} took effect twice");
+        state.effects += u32::from(!duplicate);
+        let at_most_once = CLASSES[class].1 != Effect::Safe;
+        assert!(
+            !at_most_once || state.effects <= 1,
+            "seed {seed}: {call_id} to {destination} took effect twice"
+        );
     }
 
-    fn act(&mut self, out: Vec<Output<String, u32>>) {
+    fn perform(&mut self, outputs: Vec<Output<String, u32>>) {
         let seed = self.seed;
-        for output in out {
+        for output in outputs {
             match output {
-                Output::Reply(told) => self.told(told),
+                Output::Reply(reply) => self.receive_reply(reply),
                 Output::Attempt(attempt) => {
                     assert!(
-                        self.out.iter().all(|(id, _)| *id != attempt.id),
-                        "seed {seed}: two attempts of {} are out",
+                        self.in_flight.iter().all(|(id, _)| *id != attempt.id),
+                        "seed {seed}: two attempts of {} are in flight",
                         attempt.call_id
                     );
-                    assert_eq!(self.ids.get(&attempt.id), Some(&attempt.call_id), "seed {seed}");
-                    assert_eq!(attempt.body, attempt.call_id, "seed {seed}: its own body");
-                    self.out.insert((attempt.id, attempt.attempt));
-                    // Most connections are up at once; a lost packet of a new one costs a second or more.
-                    let slow = if self.random.u32(..10) == 0 { WINDOW_MS } else { 10.0 };
-                    let up = self.now + self.random.f64() * slow;
-                    self.at(up, Due::Begin(attempt));
+                    assert_eq!(
+                        self.call_ids.get(&attempt.id),
+                        Some(&attempt.call_id),
+                        "seed {seed}: attempt of another message"
+                    );
+                    assert_eq!(
+                        attempt.body, attempt.call_id,
+                        "seed {seed}: attempt with the body of another message"
+                    );
+                    self.in_flight.insert((attempt.id, attempt.attempt));
+                    // Most connections are established at once; a lost packet in the handshake costs a second
+                    // or more.
+                    let max_delay_ms = if self.random.u32(..10) == 0 { WINDOW_MS } else { 10.0 };
+                    let connected_at = self.now + self.random.f64() * max_delay_ms;
+                    self.schedule(connected_at, Scheduled::Begin(attempt));
                 }
                 Output::CancelAttempt { id, attempt } => {
                     let end = AttemptEnd::without_response(Outcome::Cancelled);
-                    self.at(self.now, Due::End { id, attempt, sent: self.now, end });
+                    self.schedule(self.now, Scheduled::End { id, attempt, sent: self.now, end });
                 }
                 Output::Probe { .. } | Output::CloseIdle { .. } | Output::Log(_) => {}
             }
         }
     }
 
-    fn told(&mut self, told: FrontReply<String, u32>) {
+    fn receive_reply(&mut self, reply: FrontReply<String, u32>) {
         let seed = self.seed;
-        match told {
+        match reply {
             FrontReply::Accepted { id, ticket } => {
-                assert!(self.store.0.borrow().kept.contains_key(&id), "seed {seed}: taken on and not kept");
-                self.sent.get_mut(&ticket).expect("handed in").taken = true;
-                self.ids.insert(id, ticket);
+                assert!(
+                    self.store.0.borrow().messages.contains_key(&id),
+                    "seed {seed}: message {id} was accepted but not stored"
+                );
+                self.messages
+                    .get_mut(&ticket)
+                    .expect("a reply to a message that was never submitted")
+                    .accepted = true;
+                self.call_ids.insert(id, ticket);
+            }
+            FrontReply::Duplicate { ticket, .. } => {
+                panic!("seed {seed}: {ticket} was submitted once and counted as a duplicate")
             }
-            FrontReply::Duplicate { ticket, .. } => panic!("seed {seed}: {ticket} was handed in once"),
             FrontReply::Rejected { ticket, why } => {
-                let sent = self.sent.get_mut(&ticket).expect("handed in");
-                assert!(!sent.taken && !sent.turned, "seed {seed}");
+                let state =
+                    self.messages.get_mut(&ticket).expect("a reply to a message that was never submitted");
+                assert!(
+                    !state.accepted && !state.rejected,
+                    "seed {seed}: {ticket} was rejected after another reply"
+                );
                 assert!(why == Rejection::Failed || matches!(why, Rejection::Refused { .. }));
-                sent.turned = true;
+                state.rejected = true;
             }
             FrontReply::Final { id, call_id, answer } => {
-                let sent = self.sent.get_mut(&call_id).expect("handed in");
-                assert!(sent.taken && !sent.withdrawn, "seed {seed}: {call_id} is owed no answer");
-                assert!(!sent.confirmed, "seed {seed}: {call_id} is answered after its answer was confirmed");
+                let state =
+                    self.messages.get_mut(&call_id).expect("an answer to a message that was never submitted");
+                assert!(
+                    state.accepted && !state.withdrawn,
+                    "seed {seed}: {call_id} was answered but waits for no answer"
+                );
+                assert!(
+                    !state.confirmed,
+                    "seed {seed}: {call_id} was answered after its answer was confirmed"
+                );
                 match &answer {
                     FinalAnswer::Delivered(_) => {
-                        assert!(!sent.runs.is_empty(), "seed {seed}: {call_id} never ran")
+                        assert!(
+                            !state.runs.is_empty(),
+                            "seed {seed}: {call_id} was answered as delivered but never ran"
+                        )
                     }
                     FinalAnswer::DeliveredLate(_) => {
-                        assert!(!sent.runs.is_empty(), "seed {seed}: {call_id} never ran");
-                        let after = self.random.f64() * 500.0;
-                        self.at(self.now + after, Due::Confirm(id));
+                        assert!(
+                            !state.runs.is_empty(),
+                            "seed {seed}: {call_id} was answered as delivered but never ran"
+                        );
+                        let confirm_after_ms = self.random.f64() * 500.0;
+                        self.schedule(self.now + confirm_after_ms, Scheduled::Confirm(id));
                     }
-                    FinalAnswer::EndedByPartner(_) => panic!("seed {seed}: nobody says so"),
+                    FinalAnswer::EndedByPartner(_) => panic!(
+                        "seed {seed}: {call_id} was answered as ended by the partner, which no partner does"
+                    ),
                     FinalAnswer::Refused { may_have_run, .. } | FinalAnswer::Failed { may_have_run, .. } => {
-                        assert!(*may_have_run || sent.runs.is_empty(), "seed {seed}: {call_id} ran");
-                        let after = self.random.f64() * 500.0;
-                        self.at(self.now + after, Due::Confirm(id));
+                        assert!(
+                            *may_have_run || state.runs.is_empty(),
+                            "seed {seed}: {call_id} ran but is answered as never run"
+                        );
+                        let confirm_after_ms = self.random.f64() * 500.0;
+                        self.schedule(self.now + confirm_after_ms, Scheduled::Confirm(id));
                     }
                 }
-                let sent = self.sent.get_mut(&call_id).expect("handed in");
-                // Told again after a crash, it is the same answer. What came with it may be lost.
+                let state =
+                    self.messages.get_mut(&call_id).expect("an answer to a message that was never submitted");
+                // An answer that is repeated after a crash is of the same kind. The response that came with
+                // it may be lost.
                 let kind = |f: &FinalAnswer<u32>| match f {
                     FinalAnswer::Refused { retry_after_ms, .. } => (0, *retry_after_ms),
-                    // After a restart it is told as failed.
+                    // After a restart a late delivery is answered as failed.
                     FinalAnswer::Failed { .. } | FinalAnswer::DeliveredLate(_) => (1, None),
                     FinalAnswer::Delivered(_) | FinalAnswer::EndedByPartner(_) => (2, None),
                 };
-                for before in &sent.answers {
-                    assert_eq!(kind(before), kind(&answer), "seed {seed}: a second answer of {call_id}");
-                    assert!(kind(before).0 != 2, "seed {seed}: {call_id} is delivered twice");
+                for before in &state.answers {
+                    assert_eq!(
+                        kind(before),
+                        kind(&answer),
+                        "seed {seed}: {call_id} got two different answers"
+                    );
+                    assert!(kind(before).0 != 2, "seed {seed}: {call_id} was answered as delivered twice");
                 }
-                sent.answers.push(answer);
+                state.answers.push(answer);
             }
         }
     }
 
-    /// Waits until nothing is owed, and looks whether each message has its answer.
-    pub fn settle(&mut self) {
-        self.all_well();
-        self.store.0.borrow_mut().fails = Fails::Nothing;
+    /// Waits until no message is open, and checks that each message has its answer.
+    pub fn run_to_completion(&mut self) {
+        self.make_all_healthy();
+        self.store.0.borrow_mut().failure = StoreFailure::None;
         if self.stopping {
             self.crash();
         }
-        self.pass(10_000.0);
+        self.advance(10_000.0);
         let seed = self.seed;
-        assert!(self.engine.is_idle(), "seed {seed}: something stays open: {:?}", self.engine.held());
-        assert_eq!(self.engine.held(), (0, 0), "seed {seed}");
-        assert!(self.store.0.borrow().kept.is_empty(), "seed {seed}: the store keeps what is over");
-        for (call_id, s) in &self.sent {
-            assert!(s.taken != s.turned, "seed {seed}: {call_id} heard nothing, or two things");
-            if s.taken && !s.withdrawn {
+        assert!(
+            self.engine.is_idle(),
+            "seed {seed}: messages or attempts stay open: {:?}",
+            self.engine.held()
+        );
+        assert_eq!(self.engine.held(), (0, 0), "seed {seed}: the counts of open messages are wrong");
+        assert!(
+            self.store.0.borrow().messages.is_empty(),
+            "seed {seed}: the store keeps messages that have ended"
+        );
+        for (call_id, s) in &self.messages {
+            assert!(s.accepted != s.rejected, "seed {seed}: {call_id} got no reply, or two");
+            if s.accepted && !s.withdrawn {
                 assert!(!s.answers.is_empty(), "seed {seed}: {call_id} has no final answer");
             }
         }
     }
 
-    /// Messages turned away, delivered, refused, failed and withdrawn.
+    /// Returns the number of messages that were rejected, delivered, refused, failed and withdrawn.
     pub fn counts(&self) -> [usize; 5] {
         let mut counts = [0; 5];
-        for s in self.sent.values() {
-            let at = match s.answers.last() {
-                _ if s.turned => 0,
+        for s in self.messages.values() {
+            let index = match s.answers.last() {
+                _ if s.rejected => 0,
                 _ if s.withdrawn => 4,
                 Some(FinalAnswer::Refused { .. }) => 2,
                 Some(FinalAnswer::Failed { .. }) => 3,
                 _ => 1,
             };
-            counts[at] += 1;
+            counts[index] += 1;
         }
         counts
     }
