--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,6 +1,6 @@
-//! The folder that lasts: what the relay has taken on and what it did for it, in one append-only file. No
-//! record needs a sync, as what was written outlasts the process. Each record is framed by a mark, its length
-//! and its checksum, so that a torn or damaged one costs only itself.
+//! The journal in the state folder: one append-only file with the accepted messages and the attempts made for
+//! them. Records are not synced to disk, as written data survives the end of the process. Each record is
+//! framed by a marker, its length and its checksum, so that a torn or damaged record does not affect others.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -8,12 +8,14 @@
 use std::io::{self, Write};
 use std::path::PathBuf;
 
-const MARK: [u8; 4] = *b"\xf5mj\x01";
-const FRAME: usize = MARK.len() + 8;
-/// What is written of messages that are over is thrown out once it is more than this.
-const MOST_DEAD: u64 = 256 * 1024;
+const FRAME_MARKER: [u8; 4] = *b"\xf5mj\x01";
+/// Marker, length of the payload and checksum.
+const FRAME_HEADER_BYTES: usize = FRAME_MARKER.len() + 8;
+/// The journal is compacted, which drops the records of ended messages, once it is larger than twice its live
+/// records plus this.
+const MAX_DEAD_BYTES: u64 = 256 * 1024;
 
-/// A message that was taken on.
+/// A message that was accepted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedMessage {
     pub call_id: String,
@@ -21,14 +23,14 @@
     pub tenant: String,
     pub order_key: Option<String>,
     pub idempotency_key: Option<Vec<u8>>,
-    /// Wall time, in milliseconds.
+    /// Deadline for its delivery, wall-clock time in milliseconds.
     pub due: f64,
     pub dest: u64,
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
 }
 
-/// How a message ends that was not delivered.
+/// How a message ends that is given up.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum GivenUp {
     Undeliverable,
@@ -37,41 +39,46 @@
 
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 enum Record {
-    Taken(u64, AcceptedMessage),
-    /// An attempt is about to be written: number, wall time, endpoint.
-    Begun(u64, u32, f64, String),
-    /// An attempt has an outcome: number, whether it may have run, whether it may run yet.
+    Accepted(u64, AcceptedMessage),
+    /// An attempt is about to be sent: message, attempt number, wall-clock time, endpoint.
+    AttemptBegun(u64, u32, f64, String),
+    /// An attempt has an outcome: message, attempt number, whether it may have run, whether it may still be
+    /// running.
     Outcome(u64, u32, bool, bool),
-    Verdict(u64, GivenUp),
+    GivenUp(u64, GivenUp),
     Ended(u64),
-    /// The outages that the module knows of; it takes the place of any earlier one.
+    /// The outages that the decision module knows of. Replaces any earlier record of this kind.
     Outages(Vec<OutageRecord>),
-    /// Hosts that were told to be leaving or gone; it takes the place of any earlier one.
-    Departed(Vec<TombstoneRecord>),
+    /// Hosts that were reported as draining or removed. Replaces any earlier record of this kind.
+    Tombstones(Vec<TombstoneRecord>),
 }
 
-/// Destination, endpoint, wall time of its return if it is back, deliveries a second before.
+/// Destination, endpoint, wall-clock time at which it recovered (if it has), and deliveries per second before
+/// the outage.
 pub type OutageRecord = (u64, String, Option<f64>, f64);
 
-/// Name, when the host had last started, who told, in which version of its list.
+/// Host name, time of the host's last start, the agent that reported it, and the version of that agent's
+/// list.
 pub type TombstoneRecord = (String, f64, String, u64);
 
-/// The place of [`Record::Outages`] among what is live; messages are numbered from 1.
-const OUTAGES: u64 = 0;
-/// The place of [`Record::Departed`]; so many messages are never taken.
-const DEPARTED: u64 = u64::MAX;
+/// Key of [`Record::Outages`] among the live records. Message numbers start at 1.
+const OUTAGES_ID: u64 = 0;
+/// Key of [`Record::Tombstones`] among the live records. Message numbers never get so high.
+const TOMBSTONES_ID: u64 = u64::MAX;
 
-/// An attempt of a message that an earlier process took on.
+/// An attempt of a message that an earlier process accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
     pub number: u32,
+    /// Wall-clock time at which it was about to be sent, in milliseconds.
     pub at: f64,
     pub endpoint: String,
     pub may_have_run: bool,
+    /// Whether it may still be running.
     pub may_run_yet: bool,
 }
 
-/// A message that is still owed its end.
+/// A message that has not ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecoveredMessage {
     pub id: u64,
@@ -80,76 +87,78 @@
     pub given_up: Option<GivenUp>,
 }
 
-/// The folder's journal, open.
+/// The open journal of a state folder.
 pub struct Journal {
     path: PathBuf,
-    /// Holds the folder's lock.
+    /// Handle on the folder, which holds its lock.
     lock: File,
-    /// Another process may have the folder: nothing may be written.
+    /// Whether another process may have the folder, so that nothing may be written.
     released: bool,
     file: File,
     size: u64,
-    /// The frames of every message that is not over: what a new file would hold.
+    /// The frames of every message that has not ended, which are what compaction writes to a new file.
     live: BTreeMap<u64, Vec<u8>>,
     live_bytes: u64,
-    most: u64,
-    /// Room that is kept for the records of messages already taken on.
-    reserve: u64,
+    max_bytes: u64,
+    /// Space that is reserved for the records of messages that are already accepted.
+    reserve_bytes: u64,
 }
 
-/// What an earlier process left.
+/// The state that an earlier process has left.
 #[derive(Default)]
 pub struct RecoveredState {
     pub messages: Vec<RecoveredMessage>,
     pub outages: Vec<OutageRecord>,
     pub tombstones: Vec<TombstoneRecord>,
+    /// Log lines about damage in the file.
     pub notes: Vec<String>,
 }
 
 fn frame(record: &Record) -> io::Result<Vec<u8>> {
     let payload = postcard::to_stdvec(record).map_err(io::Error::other)?;
-    let mut frame = Vec::with_capacity(FRAME + payload.len());
-    frame.extend_from_slice(&MARK);
+    let mut frame = Vec::with_capacity(FRAME_HEADER_BYTES + payload.len());
+    frame.extend_from_slice(&FRAME_MARKER);
     frame.extend_from_slice(&(payload.len() as u32).to_le_bytes());
     frame.extend_from_slice(&crc32fast::hash(&payload).to_le_bytes());
     frame.extend_from_slice(&payload);
     Ok(frame)
 }
 
-/// The record at the start of `bytes` and the length of its frame, if it is whole.
+/// Returns the record at the start of `bytes` and the length of its frame, if the frame is complete and
+/// undamaged.
 fn unframe(bytes: &[u8]) -> Option<(Record, usize)> {
-    let head = bytes.get(..FRAME).filter(|h| h.starts_with(&MARK))?;
-    let number = |at: usize| Some(u32::from_le_bytes(head.get(at..at + 4)?.try_into().ok()?));
-    let (length, sum) = (number(4)? as usize, number(8)?);
-    let payload = bytes.get(FRAME..FRAME.checked_add(length)?)?;
-    if crc32fast::hash(payload) != sum {
+    let header = bytes.get(..FRAME_HEADER_BYTES).filter(|h| h.starts_with(&FRAME_MARKER))?;
+    let read_u32 = |at: usize| Some(u32::from_le_bytes(header.get(at..at + 4)?.try_into().ok()?));
+    let (length, checksum) = (read_u32(4)? as usize, read_u32(8)?);
+    let payload = bytes.get(FRAME_HEADER_BYTES..FRAME_HEADER_BYTES.checked_add(length)?)?;
+    if crc32fast::hash(payload) != checksum {
         return None;
     }
-    Some((postcard::from_bytes(payload).ok()?, FRAME + length))
+    Some((postcard::from_bytes(payload).ok()?, FRAME_HEADER_BYTES + length))
 }
 
-/// All whole records. After damage the next whole one is looked for; damage that nothing follows is a torn
-/// tail, left by a process that was killed while it wrote.
+/// Returns all undamaged records. After damage it searches for the next undamaged record. Damage at the end
+/// of the file is a torn tail, left by a process that was killed while it wrote.
 fn read_records(bytes: &[u8], notes: &mut Vec<String>) -> Vec<Record> {
-    let (mut records, mut at) = (Vec::new(), 0);
-    while at < bytes.len() {
-        if let Some((record, length)) = unframe(&bytes[at..]) {
+    let (mut records, mut offset) = (Vec::new(), 0);
+    while offset < bytes.len() {
+        if let Some((record, length)) = unframe(&bytes[offset..]) {
             records.push(record);
-            at += length;
+            offset += length;
             continue;
         }
-        let next = (at + 1..bytes.len()).find(|i| unframe(&bytes[*i..]).is_some());
+        let next = (offset + 1..bytes.len()).find(|i| unframe(&bytes[*i..]).is_some());
         match next {
-            Some(next) => notes.push(format!("journal: {} damaged bytes at {at} skipped", next - at)),
-            None => notes.push(format!("journal: torn tail of {} bytes dropped", bytes.len() - at)),
+            Some(next) => notes.push(format!("journal: {} damaged bytes at {offset} skipped", next - offset)),
+            None => notes.push(format!("journal: torn tail of {} bytes dropped", bytes.len() - offset)),
         }
-        at = next.unwrap_or(bytes.len());
+        offset = next.unwrap_or(bytes.len());
     }
     records
 }
 
 /// Locks the folder for this process.
-fn take(folder: &File) -> io::Result<()> {
+fn lock_folder(folder: &File) -> io::Result<()> {
     folder.try_lock().map_err(|e| match e {
         TryLockError::WouldBlock => io::Error::new(io::ErrorKind::WouldBlock, "in use by another process"),
         TryLockError::Error(e) => e,
@@ -157,17 +166,18 @@
 }
 
 impl Journal {
-    /// Opens the folder's journal and tells what is still owed. `most` bounds the folder, in bytes.
+    /// Opens the folder's journal and returns the state that an earlier process has left. `max_bytes` is
+    /// the maximum size of the folder.
     ///
     /// # Errors
-    /// What reading and writing give; `WouldBlock` if another process has the folder open, before anything in it is
-    /// touched.
-    pub fn open(folder: PathBuf, most: u64) -> io::Result<(Journal, RecoveredState)> {
+    /// Any error of reading and writing. `WouldBlock` if another process has the folder open; nothing in the
+    /// folder is changed then.
+    pub fn open(folder: PathBuf, max_bytes: u64) -> io::Result<(Journal, RecoveredState)> {
         let path = folder.join("journal");
-        // The folder itself is locked, as its files are replaced. The lock goes with the process.
+        // The folder itself is locked, as its files are replaced. The lock ends with the process.
         let lock = File::open(&folder)?;
-        take(&lock)?;
-        // What is left of a compaction that was cut off: the file that it would have replaced is whole.
+        lock_folder(&lock)?;
+        // This file is left by an interrupted compaction. The file that it was to replace is complete.
         match fs::remove_file(folder.join("journal.new")) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
             _ => {}
@@ -176,12 +186,12 @@
             Err(e) if e.kind() == io::ErrorKind::NotFound => Vec::new(),
             other => other?,
         };
-        let mut left = RecoveredState::default();
-        let records = read_records(&bytes, &mut left.notes);
+        let mut recovered = RecoveredState::default();
+        let records = read_records(&bytes, &mut recovered.notes);
         let file = OpenOptions::new().create(true).append(true).open(&path)?;
-        // Each file counts in whole 512 bytes, and there are two while one replaces the other.
-        let most = most.saturating_sub(2 * 512);
-        let reserve = (most / 8).min(128 * 1024);
+        // Files take up space in units of 512 bytes, and there are two files during a compaction.
+        let max_bytes = max_bytes.saturating_sub(2 * 512);
+        let reserve_bytes = (max_bytes / 8).min(128 * 1024);
         let size = bytes.len() as u64;
         let mut journal = Journal {
             path,
@@ -191,174 +201,178 @@
             size,
             live: BTreeMap::new(),
             live_bytes: 0,
-            most,
-            reserve,
+            max_bytes,
+            reserve_bytes,
         };
-        journal.replay(records, &mut left)?;
-        // A new file leaves damage and a torn tail behind, so that what is appended can be read.
+        journal.replay(records, &mut recovered)?;
+        // Compaction drops damaged records and a torn tail, so that records appended later can be read.
         if journal.live_bytes != journal.size {
             journal.compact()?;
         }
-        Ok((journal, left))
+        Ok((journal, recovered))
     }
 
-    /// Leaves the folder to another process. From now on nothing is written, and each call fails.
+    /// Releases the folder to another process. From then on nothing is written, and each call that records
+    /// something fails.
     ///
     /// # Errors
-    /// What unlocking gives; the folder is kept then.
+    /// Any error of unlocking; the folder is then not released.
     pub fn release(&mut self) -> io::Result<()> {
         self.lock.unlock()?;
         self.released = true;
         Ok(())
     }
 
-    /// Takes the folder back, as if nobody had had it meanwhile: whoever did has acted on nothing that it read.
+    /// Takes the folder back and writes the journal anew. A process that had it meanwhile must not have acted
+    /// on anything that it read.
     ///
     /// # Errors
-    /// `WouldBlock` if another process has it; else what writing gives.
+    /// `WouldBlock` if another process has the folder, and any error of writing.
     pub fn retake(&mut self) -> io::Result<()> {
-        take(&self.lock)?;
+        lock_folder(&self.lock)?;
         self.released = false;
         self.compact()
     }
 
-    fn replay(&mut self, records: Vec<Record>, left: &mut RecoveredState) -> io::Result<()> {
-        let mut kept: BTreeMap<u64, RecoveredMessage> = BTreeMap::new();
+    fn replay(&mut self, records: Vec<Record>, recovered: &mut RecoveredState) -> io::Result<()> {
+        let mut messages: BTreeMap<u64, RecoveredMessage> = BTreeMap::new();
         for record in records {
             let bytes = frame(&record)?;
             match record {
-                Record::Taken(id, taken) => {
-                    self.remember(id, &bytes);
-                    kept.insert(
-                        id,
-                        RecoveredMessage { id, message: taken, attempts: Vec::new(), given_up: None },
-                    );
+                Record::Accepted(id, message) => {
+                    self.add_live(id, &bytes);
+                    messages
+                        .insert(id, RecoveredMessage { id, message, attempts: Vec::new(), given_up: None });
                 }
                 Record::Ended(id) => {
-                    self.forget(id);
-                    kept.remove(&id);
+                    self.remove_live(id);
+                    messages.remove(&id);
                 }
                 Record::Outages(outages) => {
-                    self.forget(OUTAGES);
-                    self.remember(OUTAGES, &bytes);
-                    left.outages = outages;
+                    self.remove_live(OUTAGES_ID);
+                    self.add_live(OUTAGES_ID, &bytes);
+                    recovered.outages = outages;
                 }
-                Record::Departed(departed) => {
-                    self.forget(DEPARTED);
-                    self.remember(DEPARTED, &bytes);
-                    left.tombstones = departed;
+                Record::Tombstones(tombstones) => {
+                    self.remove_live(TOMBSTONES_ID);
+                    self.add_live(TOMBSTONES_ID, &bytes);
+                    recovered.tombstones = tombstones;
                 }
-                Record::Begun(id, number, at, endpoint) => {
-                    let Some(k) = kept.get_mut(&id) else { continue };
+                Record::AttemptBegun(id, number, at, endpoint) => {
+                    let Some(message) = messages.get_mut(&id) else { continue };
                     let (may_have_run, may_run_yet) = (true, true);
-                    k.attempts.push(Attempt { number, at, endpoint, may_have_run, may_run_yet });
-                    self.remember(id, &bytes);
+                    message.attempts.push(Attempt { number, at, endpoint, may_have_run, may_run_yet });
+                    self.add_live(id, &bytes);
                 }
                 Record::Outcome(id, number, may_have_run, may_run_yet) => {
-                    let Some(k) = kept.get_mut(&id) else { continue };
-                    for a in k.attempts.iter_mut().filter(|a| a.number == number) {
-                        (a.may_have_run, a.may_run_yet) = (may_have_run, may_run_yet);
+                    let Some(message) = messages.get_mut(&id) else { continue };
+                    for attempt in message.attempts.iter_mut().filter(|a| a.number == number) {
+                        (attempt.may_have_run, attempt.may_run_yet) = (may_have_run, may_run_yet);
                     }
-                    self.remember(id, &bytes);
+                    self.add_live(id, &bytes);
                 }
-                Record::Verdict(id, verdict) => {
-                    let Some(k) = kept.get_mut(&id) else { continue };
-                    k.given_up = Some(verdict);
-                    self.remember(id, &bytes);
+                Record::GivenUp(id, given_up) => {
+                    let Some(message) = messages.get_mut(&id) else { continue };
+                    message.given_up = Some(given_up);
+                    self.add_live(id, &bytes);
                 }
             }
         }
-        left.messages = kept.into_values().collect();
+        recovered.messages = messages.into_values().collect();
         Ok(())
     }
 
-    fn remember(&mut self, id: u64, bytes: &[u8]) {
+    fn add_live(&mut self, id: u64, bytes: &[u8]) {
         self.live_bytes += bytes.len() as u64;
         self.live.entry(id).or_default().extend_from_slice(bytes);
     }
 
-    fn forget(&mut self, id: u64) {
+    fn remove_live(&mut self, id: u64) {
         let frames = self.live.remove(&id).unwrap_or_default();
         self.live_bytes -= frames.len() as u64;
     }
 
-    /// Writes all that is live to a new file and puts it in the old one's place.
+    /// Writes all live records to a new file, which then replaces the old one.
     fn compact(&mut self) -> io::Result<()> {
-        let new = self.path.with_extension("new");
-        let mut all = Vec::with_capacity(self.live_bytes as usize);
-        self.live.values().for_each(|frames| all.extend_from_slice(frames));
-        let written = fs::write(&new, &all).and_then(|()| fs::rename(&new, &self.path));
+        let new_path = self.path.with_extension("new");
+        let mut contents = Vec::with_capacity(self.live_bytes as usize);
+        self.live.values().for_each(|frames| contents.extend_from_slice(frames));
+        let written = fs::write(&new_path, &contents).and_then(|()| fs::rename(&new_path, &self.path));
         if let Err(e) = written {
-            let _gone_or_not = fs::remove_file(&new);
+            let _ignored = fs::remove_file(&new_path);
             return Err(e);
         }
         self.file = OpenOptions::new().append(true).open(&self.path)?;
-        self.size = all.len() as u64;
+        self.size = contents.len() as u64;
         Ok(())
     }
 
-    /// Appends a frame if the folder then still has room for itself and `spare`, and for the new file that
-    /// would replace the old one.
-    fn append(&mut self, id: u64, record: &Record, spare: u64) -> io::Result<()> {
+    /// Appends a record. There must then still be space for `spare_bytes`, and for the new file of a
+    /// compaction.
+    fn append(&mut self, id: u64, record: &Record, spare_bytes: u64) -> io::Result<()> {
         if self.released {
-            return Err(io::Error::other("the folder is left to another process"));
+            return Err(io::Error::other("the state folder was released to another process"));
         }
         let bytes = frame(record)?;
-        let more = bytes.len() as u64;
-        let fits = |j: &Journal| j.size + more + j.live_bytes + more + spare <= j.most;
-        if self.size > 2 * self.live_bytes + MOST_DEAD || !fits(self) {
+        let added = bytes.len() as u64;
+        let fits = |j: &Journal| j.size + added + j.live_bytes + added + spare_bytes <= j.max_bytes;
+        if self.size > 2 * self.live_bytes + MAX_DEAD_BYTES || !fits(self) {
             self.compact()?;
         }
         if !fits(self) {
             return Err(io::Error::from(io::ErrorKind::StorageFull));
         }
         if let Err(e) = self.file.write_all(&bytes) {
-            // Half a record must not stand before the next one.
+            // A partial record must not precede the next one.
             self.file.set_len(self.size)?;
             return Err(e);
         }
-        self.size += more;
-        if matches!(record, Record::Ended(_) | Record::Outages(_) | Record::Departed(_)) {
-            self.forget(id);
+        self.size += added;
+        if matches!(record, Record::Ended(_) | Record::Outages(_) | Record::Tombstones(_)) {
+            self.remove_live(id);
         }
         if !matches!(record, Record::Ended(_)) {
-            self.remember(id, &bytes);
+            self.add_live(id, &bytes);
         }
         Ok(())
     }
 
-    /// A message is taken on. On an error it is not, and must be refused.
-    pub fn record_accepted(&mut self, id: u64, taken: AcceptedMessage) -> io::Result<()> {
-        self.append(id, &Record::Taken(id, taken), self.reserve)
+    /// Records that a message is accepted. On an error it is not accepted and must be refused.
+    pub fn record_accepted(&mut self, id: u64, message: AcceptedMessage) -> io::Result<()> {
+        self.append(id, &Record::Accepted(id, message), self.reserve_bytes)
     }
 
-    /// An attempt's bytes are about to go out. On an error they must not.
+    /// Records that an attempt is about to be sent. On an error it must not be sent.
     pub fn record_attempt(&mut self, id: u64, attempt: u32, at: f64, endpoint: &str) -> io::Result<()> {
-        self.append(id, &Record::Begun(id, attempt, at, endpoint.into()), self.reserve / 2)
+        self.append(id, &Record::AttemptBegun(id, attempt, at, endpoint.into()), self.reserve_bytes / 2)
     }
 
+    /// Records the outcome of an attempt: whether it may have run, and whether it may still be running.
     pub fn record_outcome(
         &mut self, id: u64, attempt: u32, may_have_run: bool, may_run_yet: bool,
     ) -> io::Result<()> {
         self.append(id, &Record::Outcome(id, attempt, may_have_run, may_run_yet), 0)
     }
 
-    pub fn record_given_up(&mut self, id: u64, verdict: GivenUp) -> io::Result<()> {
-        self.append(id, &Record::Verdict(id, verdict), 0)
+    /// Records that a message is given up. It stays in the journal until it has ended.
+    pub fn record_given_up(&mut self, id: u64, given_up: GivenUp) -> io::Result<()> {
+        self.append(id, &Record::GivenUp(id, given_up), 0)
     }
 
+    /// Records the outages that the decision module knows of, in place of any recorded before.
     pub fn record_outages(&mut self, outages: Vec<OutageRecord>) -> io::Result<()> {
-        self.append(OUTAGES, &Record::Outages(outages), self.reserve / 2)
+        self.append(OUTAGES_ID, &Record::Outages(outages), self.reserve_bytes / 2)
     }
 
-    /// Hosts that a later process must not send to, whatever list it starts from.
+    /// Records hosts that a later process must not send to, whatever list it starts from.
     ///
     /// # Errors
-    /// What writing gives; `StorageFull` where the folder has no room.
-    pub fn record_tombstones(&mut self, departed: Vec<TombstoneRecord>) -> io::Result<()> {
-        self.append(DEPARTED, &Record::Departed(departed), 0)
+    /// Any error of writing; `StorageFull` if there is no space in the folder.
+    pub fn record_tombstones(&mut self, tombstones: Vec<TombstoneRecord>) -> io::Result<()> {
+        self.append(TOMBSTONES_ID, &Record::Tombstones(tombstones), 0)
     }
 
+    /// Records that a message has ended. It is not recovered by a later process.
     pub fn record_ended(&mut self, id: u64) -> io::Result<()> {
         self.append(id, &Record::Ended(id), 0)
     }
--- a/crates/journal/tests/recorded.rs
+++ b/crates/journal/tests/recorded.rs
@@ -1,5 +1,5 @@
-//! Guards against changes of the stored form: a relay reads what an earlier version wrote, and versions run beside
-//! each other during a takeover.
+//! Guards against changes of the stored format: a relay reads journals of earlier versions, and during a
+//! takeover two versions run at the same time.
 use mulleinslip_journal::{
     AcceptedMessage, Attempt, GivenUp, Journal, OutageRecord, RecoveredMessage, TombstoneRecord,
 };
@@ -7,16 +7,16 @@
 use std::path::{Path, PathBuf};
 
 const SAMPLE: &[u8] = include_bytes!("recorded/journal.bin");
-const ROOM: u64 = 1024 * 1024;
+const MAX_BYTES: u64 = 1024 * 1024;
 
 fn empty_folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    let _there_or_not = fs::remove_dir_all(&folder);
+    let _ignored = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).unwrap();
     folder
 }
 
-fn keyed() -> AcceptedMessage {
+fn keyed_message() -> AcceptedMessage {
     AcceptedMessage {
         call_id: "call-a".into(),
         class: "order".into(),
@@ -29,7 +29,7 @@
     }
 }
 
-fn plain(call_id: &str) -> AcceptedMessage {
+fn plain_message(call_id: &str) -> AcceptedMessage {
     let (class, tenant) = ("note".into(), "umbra".into());
     let (order_key, idempotency_key, due) = (None, None, 1_764_770_000_500.25);
     AcceptedMessage {
@@ -48,16 +48,17 @@
     vec![(41, "h1".into(), Some(1_764_769_000_000.5), 12.5), (42, String::new(), None, 0.75)]
 }
 
-fn departed() -> Vec<TombstoneRecord> {
+fn tombstones() -> Vec<TombstoneRecord> {
     vec![("h9".into(), 1_764_760_000_000.5, "agent-2".into(), 88)]
 }
 
+/// Guards against a reader that fails on a recorded journal or reads other values from it.
 #[test]
-fn a_recorded_journal_is_read_with_all_its_values() {
+fn reads_all_values_of_recorded_journal() {
     let folder = empty_folder("recorded-journal-read");
     fs::write(folder.join("journal"), SAMPLE).unwrap();
-    let (_journal, left) = Journal::open(folder, ROOM).unwrap();
-    assert_eq!(left.notes, Vec::<String>::new(), "nothing is damaged");
+    let (_journal, recovered) = Journal::open(folder, MAX_BYTES).unwrap();
+    assert_eq!(recovered.notes, Vec::<String>::new(), "the undamaged sample was reported as damaged");
     let attempt = |number, at, endpoint: &str, may_have_run, may_run_yet| Attempt {
         number,
         at,
@@ -70,43 +71,45 @@
         attempt(1, 1_764_770_002_000.5, "h2", false, true),
         attempt(2, 1_764_770_003_000.5, "h3", true, true),
     ];
-    let kept = |id, call_id, verdict| RecoveredMessage {
+    let given_up_message = |id, call_id, given_up| RecoveredMessage {
         id,
-        message: plain(call_id),
+        message: plain_message(call_id),
         attempts: vec![],
-        given_up: verdict,
+        given_up,
     };
     let expected = vec![
-        RecoveredMessage { id: 5, message: keyed(), attempts, given_up: None },
-        kept(300, "call-b", Some(GivenUp::Undeliverable)),
-        kept(301, "call-c", Some(GivenUp::Deferred { retry_after_ms: Some(1500.5) })),
-        kept(302, "call-d", Some(GivenUp::Deferred { retry_after_ms: None })),
+        RecoveredMessage { id: 5, message: keyed_message(), attempts, given_up: None },
+        given_up_message(300, "call-b", Some(GivenUp::Undeliverable)),
+        given_up_message(301, "call-c", Some(GivenUp::Deferred { retry_after_ms: Some(1500.5) })),
+        given_up_message(302, "call-d", Some(GivenUp::Deferred { retry_after_ms: None })),
     ];
-    assert_eq!(left.messages, expected, "303 has ended");
-    assert_eq!(left.outages, outages(), "the later ones");
-    assert_eq!(left.tombstones, departed());
+    assert_eq!(recovered.messages, expected, "messages differ from the recorded ones (303 has ended)");
+    assert_eq!(recovered.outages, outages(), "outages differ from those of the latest record");
+    assert_eq!(recovered.tombstones, tombstones());
 }
 
+/// Guards against a writer whose file an earlier version could not read: the same calls must write the same
+/// bytes.
 #[test]
-fn the_same_calls_write_the_recorded_journal() {
+fn same_calls_write_recorded_journal() {
     let folder = empty_folder("recorded-journal-written");
-    let (mut journal, _) = Journal::open(folder.clone(), ROOM).unwrap();
+    let (mut journal, _) = Journal::open(folder.clone(), MAX_BYTES).unwrap();
     journal.record_outages(vec![(40, "h0".into(), None, 1.5)]).unwrap();
-    journal.record_accepted(5, keyed()).unwrap();
+    journal.record_accepted(5, keyed_message()).unwrap();
     journal.record_attempt(5, 0, 1_764_770_001_000.5, "h1").unwrap();
     journal.record_outcome(5, 0, true, false).unwrap();
     journal.record_attempt(5, 1, 1_764_770_002_000.5, "h2").unwrap();
     journal.record_outcome(5, 1, false, true).unwrap();
     journal.record_attempt(5, 2, 1_764_770_003_000.5, "h3").unwrap();
     for (id, call_id) in [(300, "call-b"), (301, "call-c"), (302, "call-d"), (303, "call-e")] {
-        journal.record_accepted(id, plain(call_id)).unwrap();
+        journal.record_accepted(id, plain_message(call_id)).unwrap();
     }
     journal.record_given_up(300, GivenUp::Undeliverable).unwrap();
     journal.record_given_up(301, GivenUp::Deferred { retry_after_ms: Some(1500.5) }).unwrap();
     journal.record_given_up(302, GivenUp::Deferred { retry_after_ms: None }).unwrap();
     journal.record_ended(303).unwrap();
     journal.record_outages(outages()).unwrap();
-    journal.record_tombstones(departed()).unwrap();
+    journal.record_tombstones(tombstones()).unwrap();
     let written = fs::read(folder.join("journal")).unwrap();
     assert_eq!(written, SAMPLE);
 }
