--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -2,33 +2,33 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Monotonic, and set to the wall clock once, at the start, so that times in a journal mean the same to the next
-/// process. Milliseconds since 1970.
+/// A monotonic clock in milliseconds since 1970. It is set to the wall clock once, when it is started, so
+/// that times in a journal keep their meaning for the next process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
-    wall: f64,
+    start_ms: f64,
 }
 
 impl Clock {
-    /// Starts it.
+    /// Starts a clock at the current wall-clock time.
     pub fn start() -> Clock {
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), wall: wall.as_secs_f64() * 1000.0 }
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { start: Instant::now(), start_ms: since_epoch.as_secs_f64() * 1000.0 }
     }
 
-    /// What it shows.
+    /// Returns the current time.
     pub fn now(&self) -> f64 {
         self.at(Instant::now())
     }
 
-    /// What it showed, or will show, at an instant that isn't before its start.
+    /// Returns the time at an instant, which must not be before the start of the clock.
     pub fn at(&self, instant: Instant) -> f64 {
-        self.wall + instant.saturating_duration_since(self.start).as_secs_f64() * 1000.0
+        self.start_ms + instant.saturating_duration_since(self.start).as_secs_f64() * 1000.0
     }
 
-    /// When it shows this, within eleven days of its start.
+    /// Returns the instant of a time on this clock, limited to 1e6 seconds (eleven days) after its start.
     pub fn instant(&self, at: f64) -> Instant {
-        self.start + Duration::from_secs_f64(((at - self.wall) / 1000.0).clamp(0.0, 1e6))
+        self.start + Duration::from_secs_f64(((at - self.start_ms) / 1000.0).clamp(0.0, 1e6))
     }
 }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,5 +1,6 @@
-//! The engine's I/O side, on one thread: the clock, the timers, the queue of what happens, and attempts as tasks.
-//! It decides nothing. A [`Front`] and a [`Carrier`] meet only in the engine, behind [`Handle`].
+//! The I/O side of the engine, on one thread: the clock, the timers, the event queue, and attempts as tasks.
+//! It makes no decisions. A [`Front`] and a [`Carrier`] do not know each other: both work through the engine
+//! and its [`Handle`].
 #![warn(missing_docs)]
 
 mod clock;
--- a/crates/runtime/src/serve.rs
+++ b/crates/runtime/src/serve.rs
@@ -1,4 +1,4 @@
-//! The loop: what happens goes in by one queue, and what the engine wants done goes out to the seams.
+//! The event loop: events come in by one queue, and the engine's outputs go to the front and the carrier.
 
 use crate::clock::Clock;
 use crate::traits::{Cancellation, Carrier, Front, SendGate};
@@ -15,53 +15,55 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep_until;
 
-/// Inputs in one round of the engine at most, so that a flood can't keep the timers waiting.
-const ROUND: usize = 256;
-/// How often time alone is looked at while stopping.
-const STOP_LOOK: Duration = Duration::from_millis(20);
+/// Maximum number of events in one round of the engine, so that a flood of events can't delay the timers.
+const MAX_ROUND_EVENTS: usize = 256;
+/// How often the loop checks during a shutdown or a takeover whether it may end.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-enum Happened<T, C: Carrier> {
+/// An event in the queue.
+enum QueuedEvent<T, C: Carrier> {
     Input(Input<T, C::Response>),
     List(C::List),
     Stop(ShutdownTimes),
-    CallOff(u64, u32),
+    CancelAttempt(u64, u32),
     Release(oneshot::Sender<Vec<(u64, u32)>>),
     Retake,
-    Pass(UnboundedSender<ForwardedEnd<C::Response>>),
+    HandOver(UnboundedSender<ForwardedEnd<C::Response>>),
 }
 
-/// An attempt of which another process has the message has ended here.
+/// The end of an attempt in this process, for another process that has taken over its message.
 #[derive(Debug)]
 pub struct ForwardedEnd<R> {
     /// The message.
     pub id: u64,
     /// The attempt.
     pub attempt: u32,
-    /// Since it was asked for, in milliseconds.
+    /// Time since the engine asked for the attempt, in milliseconds.
     pub took_ms: f64,
-    /// How.
+    /// How it ended.
     pub end: AttemptEnd<R>,
 }
 
-/// Whether what was taken on is this process's matter.
-enum Tenure<H, R> {
-    Ours,
-    /// Another process has the folder and may yet give it back: what happens meanwhile waits as it came, bounded by
-    /// what is out, owed and listed, as nothing new is handed in or sent.
+/// Which process is in charge of the accepted messages.
+enum Ownership<E, R> {
+    ThisProcess,
+    /// Another process has the state folder and may still give it back. Events are deferred meanwhile. Their
+    /// number is limited by the attempts in flight, the pending answers and the list, as nothing new is
+    /// submitted or sent.
     Released {
-        out: HashSet<(u64, u32)>,
-        waiting: Vec<H>,
+        in_flight: HashSet<(u64, u32)>,
+        deferred: Vec<E>,
     },
-    /// It has all but these attempts, whose ends it is told.
-    Passed {
-        out: HashSet<(u64, u32)>,
-        tell: UnboundedSender<ForwardedEnd<R>>,
+    /// Another process has everything except these attempts in flight, and their ends are sent to it.
+    HandedOver {
+        in_flight: HashSet<(u64, u32)>,
+        end_sender: UnboundedSender<ForwardedEnd<R>>,
     },
 }
 
-/// Where what happens goes in, from any thread. What waits in it is bounded by whoever hands in: each sender has
-/// a bounded number of messages without an answer.
-pub struct Handle<T, C: Carrier>(UnboundedSender<Happened<T, C>>);
+/// Puts events into the queue, from any thread. The length of the queue is limited by the senders: each of
+/// them has a limited number of messages without an answer.
+pub struct Handle<T, C: Carrier>(UnboundedSender<QueuedEvent<T, C>>);
 
 impl<T, C: Carrier> Clone for Handle<T, C> {
     fn clone(&self) -> Self {
@@ -70,81 +72,82 @@
 }
 
 impl<T, C: Carrier> Handle<T, C> {
-    /// Hands a message in. `false` if the engine is gone, and the ticket with it.
+    /// Submits a message. Returns `false` if the engine has ended; the ticket is then dropped.
     pub fn submit(&self, message: Box<Message>, ticket: T) -> bool {
-        self.put(Happened::Input(Input::Submitted(message, ticket)))
+        self.put(QueuedEvent::Input(Input::Submitted(message, ticket)))
     }
 
-    /// Nobody waits for this message any more.
+    /// Withdraws a message for which its sender no longer waits.
     pub fn withdraw(&self, id: u64) -> bool {
-        self.put(Happened::Input(Input::Withdrawn { id }))
+        self.put(QueuedEvent::Input(Input::Withdrawn { id }))
     }
 
-    /// These final answers have reached whom they concern.
+    /// Confirms that the final answers of these messages have reached their recipients.
     pub fn confirm(&self, ids: Vec<u64>) -> bool {
-        self.put(Happened::Input(Input::AnswersConfirmed(ids)))
+        self.put(QueuedEvent::Input(Input::AnswersConfirmed(ids)))
     }
 
-    /// News of the list.
+    /// Passes on a list update.
     pub fn list(&self, list: C::List) -> bool {
-        self.put(Happened::List(list))
+        self.put(QueuedEvent::List(list))
     }
 
-    /// Takes on nothing more and ends, see [`ShutdownTimes`].
+    /// Starts the shutdown: no message is accepted any more, see [`ShutdownTimes`].
     pub fn stop(&self, times: ShutdownTimes) -> bool {
-        self.put(Happened::Stop(times))
+        self.put(QueuedEvent::Stop(times))
     }
 
-    /// An attempt has ended that an earlier process made, see [`mulleinslip_engine::Predecessor`].
+    /// Reports the end of an attempt that an earlier process made, see [`mulleinslip_engine::Predecessor`].
     pub fn ended(&self, ended: ForwardedEnd<C::Response>) -> bool {
         let ForwardedEnd { id, attempt, took_ms, end } = ended;
-        self.put(Happened::Input(Input::Ended { id, attempt, took_ms, end }))
+        self.put(QueuedEvent::Input(Input::Ended { id, attempt, took_ms, end }))
     }
 
-    /// Nobody waits for this attempt any more, of which another process has the message.
+    /// Cancels an attempt of this process, for another process that has taken over its message.
     pub fn cancel(&self, id: u64, attempt: u32) -> bool {
-        self.put(Happened::CallOff(id, attempt))
+        self.put(QueuedEvent::CancelAttempt(id, attempt))
     }
 
-    /// Stops in the middle, once all that was put in before has been dealt with, so that another process can go on.
-    /// Gives the attempts that are out, message and number. Then [`Handle::pass`] or [`Handle::retake`].
+    /// Pauses the engine for a takeover by another process, once all events that are already queued are
+    /// processed. Returns the attempts in flight, as message and attempt number. Must be followed by
+    /// [`Handle::pass`] or [`Handle::retake`].
     pub async fn release(&self) -> Option<Vec<(u64, u32)>> {
-        let (tell, told) = oneshot::channel();
-        self.put(Happened::Release(tell));
-        told.await.ok()
+        let (sender, receiver) = oneshot::channel();
+        self.put(QueuedEvent::Release(sender));
+        receiver.await.ok()
     }
 
-    /// Goes on after all.
+    /// Resumes the engine when the takeover has failed.
     pub fn retake(&self) -> bool {
-        self.put(Happened::Retake)
+        self.put(QueuedEvent::Retake)
     }
 
-    /// Another process has gone on: it is told the ends of the attempts that are still out. With the last, this
-    /// process is done.
-    pub fn pass(&self, tell: UnboundedSender<ForwardedEnd<C::Response>>) -> bool {
-        self.put(Happened::Pass(tell))
+    /// Hands over to another process, which is sent the ends of the attempts that are still in flight. The
+    /// runtime ends with the last of them.
+    pub fn pass(&self, end_sender: UnboundedSender<ForwardedEnd<C::Response>>) -> bool {
+        self.put(QueuedEvent::HandOver(end_sender))
     }
 
-    fn put(&self, happened: Happened<T, C>) -> bool {
-        self.0.send(happened).is_ok()
+    fn put(&self, event: QueuedEvent<T, C>) -> bool {
+        self.0.send(event).is_ok()
     }
 }
 
-/// The other end of [`Handle`].
-pub struct Queue<T, C: Carrier>(UnboundedReceiver<Happened<T, C>>);
+/// The receiving end of [`Handle`].
+pub struct Queue<T, C: Carrier>(UnboundedReceiver<QueuedEvent<T, C>>);
 
-/// The course of a stop, in milliseconds from its beginning.
+/// The times of a shutdown, in milliseconds from its start.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownTimes {
-    /// No attempt is begun that may be out at this time.
+    /// No attempt is begun that may still be in flight at this time.
     pub calls_end_ms: f64,
-    /// It lasts so long even if nothing is owed, as whoever hands in may not know of it yet.
+    /// Minimum duration, even if no message is open, as senders may not know of the shutdown yet.
     pub linger_ms: f64,
-    /// It lasts no longer.
+    /// Maximum duration.
     pub exit_ms: f64,
 }
 
-/// An engine, its seams and its clock.
+/// An engine with its front, its carrier and its clock.
 pub struct Runtime<S, T, C: Carrier, F> {
     engine: Rc<RefCell<Engine<S, C::Response>>>,
     carrier: Rc<C>,
@@ -152,167 +155,186 @@
     clock: Clock,
     handle: Handle<T, C>,
     queue: Queue<T, C>,
-    /// What calls attempts off that are out.
-    out: HashMap<(u64, u32), oneshot::Sender<()>>,
-    /// Since when, and how long it may last.
+    /// Cancels the attempts in flight, by message and attempt number.
+    cancellations: HashMap<(u64, u32), oneshot::Sender<()>>,
+    /// The start and the times of a shutdown.
     stopping: Option<(f64, ShutdownTimes)>,
-    tenure: Tenure<Happened<T, C>, C::Response>,
-    /// Calls attempts off that another process makes.
-    elsewhere: Option<Box<dyn Fn(u64, u32)>>,
+    ownership: Ownership<QueuedEvent<T, C>, C::Response>,
+    /// Cancels attempts that another process makes.
+    cancel_in_predecessor: Option<Box<dyn Fn(u64, u32)>>,
     log: fn(&str),
 }
 
 impl<S: Store + 'static, T: 'static, C: Carrier, F: Front<T, C::Response>> Runtime<S, T, C, F> {
-    /// A queue of what happens. Made first, as fronts are built around its handle.
+    /// Returns an event queue. It is created first, as fronts need its handle.
     pub fn queue() -> (Handle<T, C>, Queue<T, C>) {
-        let (send, receive) = unbounded_channel();
-        (Handle(send), Queue(receive))
+        let (sender, receiver) = unbounded_channel();
+        (Handle(sender), Queue(receiver))
     }
 
-    /// Puts the parts together. `log` takes lines.
+    /// Returns a runtime of these parts. `log` is called with each log line.
     pub fn new(
         engine: Engine<S, C::Response>, carrier: Rc<C>, front: F, clock: Clock,
         (handle, queue): (Handle<T, C>, Queue<T, C>), log: fn(&str),
     ) -> Self {
         let engine = Rc::new(RefCell::new(engine));
-        let (out, stopping, tenure, elsewhere) = (HashMap::new(), None, Tenure::Ours, None);
-        Runtime { engine, carrier, front, clock, handle, queue, out, stopping, tenure, elsewhere, log }
+        let (cancellations, stopping, ownership, cancel_in_predecessor) =
+            (HashMap::new(), None, Ownership::ThisProcess, None);
+        Runtime {
+            engine,
+            carrier,
+            front,
+            clock,
+            handle,
+            queue,
+            cancellations,
+            stopping,
+            ownership,
+            cancel_in_predecessor,
+            log,
+        }
     }
 
-    /// An earlier process makes attempts to their end: this calls one off, by message and number.
+    /// Sets the function that cancels an attempt which an earlier process still makes, by message and attempt
+    /// number.
     pub fn cancel_elsewhere(&mut self, cancel: impl Fn(u64, u32) + 'static) {
-        self.elsewhere = Some(Box::new(cancel));
+        self.cancel_in_predecessor = Some(Box::new(cancel));
     }
 
-    /// The engine, to be looked at between its rounds: on its own thread, and not across an `await`.
+    /// Returns the engine, for use between its rounds: only on its own thread, and not across an `await`.
     pub fn engine(&self) -> Rc<RefCell<Engine<S, C::Response>>> {
         self.engine.clone()
     }
 
-    /// Goes on with what an earlier process left. Before [`Runtime::run`].
-    pub fn restore(&mut self, lists: Vec<C::List>, left: RecoveredState, alive: &Predecessor) {
-        let of_left = left.messages.iter().filter_map(|kept| self.carrier.activate(kept.message.dest));
-        let lists: Vec<_> = lists.into_iter().chain(of_left).collect();
+    /// Restores the state of an earlier process. Must be called before [`Runtime::run`].
+    pub fn restore(&mut self, lists: Vec<C::List>, recovered: RecoveredState, predecessor: &Predecessor) {
+        let activated = recovered.messages.iter().filter_map(|m| self.carrier.activate(m.message.dest));
+        let lists: Vec<_> = lists.into_iter().chain(activated).collect();
         let lists = lists.into_iter().map(|l| self.carrier.apply_list(l)).collect();
-        let mut wanted = Vec::new();
-        self.engine.borrow_mut().restore(self.clock.now(), lists, left, alive, &mut wanted);
-        self.act(wanted);
+        let mut outputs = Vec::new();
+        self.engine.borrow_mut().restore(self.clock.now(), lists, recovered, predecessor, &mut outputs);
+        self.perform(outputs);
     }
 
-    /// Serves until a stop has been carried out.
+    /// Runs until the shutdown or the takeover is complete.
     pub async fn run(mut self) {
         loop {
             if self.finished() {
                 return;
             }
             let mut batch = Vec::new();
-            let due = self.engine.borrow().next_timer().map(|at| self.clock.instant(at));
-            let due = due.unwrap_or_else(|| Instant::now() + Duration::from_secs(1));
-            let due = match self.stopping {
-                _ if !self.is_ours() => Instant::now() + STOP_LOOK,
-                Some(_) => due.min(Instant::now() + STOP_LOOK),
-                None => due,
+            let wake_at = self.engine.borrow().next_timer().map(|at| self.clock.instant(at));
+            let wake_at = wake_at.unwrap_or_else(|| Instant::now() + Duration::from_secs(1));
+            let wake_at = match self.stopping {
+                _ if !self.is_owner() => Instant::now() + STOP_CHECK_INTERVAL,
+                Some(_) => wake_at.min(Instant::now() + STOP_CHECK_INTERVAL),
+                None => wake_at,
             };
             tokio::select! {
                 biased;
-                count = self.queue.0.recv_many(&mut batch, ROUND) => if count == 0 { return },
-                () = sleep_until(due.into()) => {}
+                count = self.queue.0.recv_many(&mut batch, MAX_ROUND_EVENTS) => if count == 0 { return },
+                () = sleep_until(wake_at.into()) => {}
             }
-            self.take(batch);
+            self.process(batch);
         }
     }
 
     fn finished(&self) -> bool {
-        if let Tenure::Passed { out, tell } = &self.tenure {
-            if out.is_empty() || tell.is_closed() {
+        if let Ownership::HandedOver { in_flight, end_sender } = &self.ownership {
+            if in_flight.is_empty() || end_sender.is_closed() {
                 return true;
             }
         }
-        let Some((since, times)) = self.stopping else { return false };
-        let spent = self.clock.now() - since;
-        (self.engine.borrow().is_idle() && spent >= times.linger_ms) || spent >= times.exit_ms
+        let Some((started_at, times)) = self.stopping else { return false };
+        let elapsed_ms = self.clock.now() - started_at;
+        (self.engine.borrow().is_idle() && elapsed_ms >= times.linger_ms) || elapsed_ms >= times.exit_ms
     }
 
-    fn take(&mut self, batch: Vec<Happened<T, C>>) {
+    fn process(&mut self, batch: Vec<QueuedEvent<T, C>>) {
         let mut inputs = Vec::with_capacity(batch.len());
         let mut batch = batch.into_iter();
-        while let Some(happened) = batch.next() {
-            let decides = matches!(happened, Happened::Release(_) | Happened::Retake | Happened::Pass(_));
-            if let (Tenure::Released { waiting, .. }, false) = (&mut self.tenure, decides) {
-                waiting.push(happened);
+        while let Some(event) = batch.next() {
+            let changes_ownership =
+                matches!(event, QueuedEvent::Release(_) | QueuedEvent::Retake | QueuedEvent::HandOver(_));
+            if let (Ownership::Released { deferred, .. }, false) = (&mut self.ownership, changes_ownership) {
+                deferred.push(event);
                 continue;
             }
-            match happened {
-                Happened::Input(input) => self.sort(input, &mut inputs),
-                Happened::List(list) if self.is_ours() => {
+            match event {
+                QueuedEvent::Input(input) => self.route(input, &mut inputs),
+                QueuedEvent::List(list) if self.is_owner() => {
                     inputs.push(Input::ListUpdate(self.carrier.apply_list(list)));
                 }
-                Happened::List(_) => {}
-                Happened::Stop(times) => {
+                QueuedEvent::List(_) => {}
+                QueuedEvent::Stop(times) => {
                     let now = self.clock.now();
                     self.stopping = Some((now, times));
                     inputs.push(Input::Stop { calls_end_at: now + times.calls_end_ms });
                 }
-                Happened::CallOff(id, attempt) => self.cancel(id, attempt),
-                Happened::Release(told) => {
-                    // Whoever has handed in is answered here: what is in the queue goes first.
-                    self.round(std::mem::take(&mut inputs));
-                    let mut waiting: Vec<_> = batch.collect();
-                    while let Ok(more) = self.queue.0.try_recv() {
-                        waiting.push(more);
+                QueuedEvent::CancelAttempt(id, attempt) => self.cancel(id, attempt),
+                QueuedEvent::Release(in_flight_sender) => {
+                    // Submissions that are already queued are answered by this process, so the queue is
+                    // emptied first.
+                    self.run_round(std::mem::take(&mut inputs));
+                    let mut queued: Vec<_> = batch.collect();
+                    while let Ok(event) = self.queue.0.try_recv() {
+                        queued.push(event);
                     }
-                    self.take(waiting);
-                    let out = self.engine.borrow_mut().release();
-                    self.tenure =
-                        Tenure::Released { out: out.iter().copied().collect(), waiting: Vec::new() };
-                    let _nobody_asks = told.send(out);
+                    self.process(queued);
+                    let in_flight = self.engine.borrow_mut().release();
+                    self.ownership = Ownership::Released {
+                        in_flight: in_flight.iter().copied().collect(),
+                        deferred: Vec::new(),
+                    };
+                    let _receiver_gone = in_flight_sender.send(in_flight);
                     return;
                 }
-                Happened::Retake => {
-                    if let Tenure::Released { waiting, .. } =
-                        std::mem::replace(&mut self.tenure, Tenure::Ours)
+                QueuedEvent::Retake => {
+                    if let Ownership::Released { deferred, .. } =
+                        std::mem::replace(&mut self.ownership, Ownership::ThisProcess)
                     {
                         self.engine.borrow_mut().resume();
-                        self.take(waiting);
+                        self.process(deferred);
                     }
                 }
-                Happened::Pass(tell) => {
-                    if let Tenure::Released { out, waiting } =
-                        std::mem::replace(&mut self.tenure, Tenure::Ours)
+                QueuedEvent::HandOver(end_sender) => {
+                    if let Ownership::Released { in_flight, deferred } =
+                        std::mem::replace(&mut self.ownership, Ownership::ThisProcess)
                     {
-                        self.tenure = Tenure::Passed { out, tell };
-                        self.take(waiting);
+                        self.ownership = Ownership::HandedOver { in_flight, end_sender };
+                        self.process(deferred);
                     }
                 }
             }
         }
-        self.round(inputs);
+        self.run_round(inputs);
     }
 
-    fn is_ours(&self) -> bool {
-        matches!(self.tenure, Tenure::Ours)
+    fn is_owner(&self) -> bool {
+        matches!(self.ownership, Ownership::ThisProcess)
     }
 
-    /// Who hears of an input: the engine, or whoever has the message.
-    fn sort(&mut self, input: Input<T, C::Response>, inputs: &mut Vec<Input<T, C::Response>>) {
+    /// Passes an input to the engine, or to the process that has taken over its message.
+    fn route(&mut self, input: Input<T, C::Response>, inputs: &mut Vec<Input<T, C::Response>>) {
         match input {
             Input::Submitted(_, ticket) if !self.front.waits(&ticket) => {}
-            Input::Submitted(message, ticket) if self.is_ours() => {
+            Input::Submitted(message, ticket) if self.is_owner() => {
                 if let Some(list) = self.carrier.activate(message.destination) {
                     inputs.push(Input::ListUpdate(self.carrier.apply_list(list)));
                 }
                 inputs.push(Input::Submitted(message, ticket));
             }
-            // Fronts hand nothing in any more, and what they have is told to the other process as well.
+            // While another process is in charge, fronts submit nothing more, and their other events reach that
+            // process as well. Only the ends of attempts are forwarded from here.
             Input::Ended { id, attempt, took_ms, end } => {
-                self.out.remove(&(id, attempt));
-                if self.is_ours() {
+                self.cancellations.remove(&(id, attempt));
+                if self.is_owner() {
                     inputs.push(Input::Ended { id, attempt, took_ms, end });
                 } else {
-                    self.ended_here(ForwardedEnd { id, attempt, took_ms, end });
+                    self.forward_end(ForwardedEnd { id, attempt, took_ms, end });
                 }
             }
-            _ if !self.is_ours() => {}
+            _ if !self.is_owner() => {}
             Input::Withdrawn { id } => {
                 self.front.withdrawn(id);
                 inputs.push(Input::Withdrawn { id });
@@ -321,132 +343,136 @@
         }
     }
 
-    fn ended_here(&mut self, end: ForwardedEnd<C::Response>) {
-        // One that had not begun was never out to whoever has its message.
-        if let Tenure::Passed { out, tell } = &mut self.tenure {
-            if out.remove(&(end.id, end.attempt)) {
-                let _gone = tell.send(end);
+    fn forward_end(&mut self, end: ForwardedEnd<C::Response>) {
+        // An attempt that had not begun at the takeover is not in flight for the other process.
+        if let Ownership::HandedOver { in_flight, end_sender } = &mut self.ownership {
+            if in_flight.remove(&(end.id, end.attempt)) {
+                let _receiver_gone = end_sender.send(end);
             }
         }
     }
 
-    fn round(&mut self, inputs: Vec<Input<T, C::Response>>) {
-        if !self.is_ours() {
+    fn run_round(&mut self, inputs: Vec<Input<T, C::Response>>) {
+        if !self.is_owner() {
             return;
         }
-        let mut wanted = Vec::new();
-        self.engine.borrow_mut().handle(self.clock.now(), inputs, &mut wanted);
-        self.act(wanted);
+        let mut outputs = Vec::new();
+        self.engine.borrow_mut().handle(self.clock.now(), inputs, &mut outputs);
+        self.perform(outputs);
         let now = self.clock.now();
         self.carrier.forget(&mut |destination| self.engine.borrow_mut().forget(now, destination));
     }
 
     fn cancel(&mut self, id: u64, attempt: u32) {
-        match (self.out.remove(&(id, attempt)), &self.elsewhere) {
-            (Some(off), _) => {
-                let _ended_already = off.send(());
+        match (self.cancellations.remove(&(id, attempt)), &self.cancel_in_predecessor) {
+            (Some(cancel), _) => {
+                let _already_ended = cancel.send(());
             }
-            (None, Some(elsewhere)) => elsewhere(id, attempt),
+            (None, Some(cancel)) => cancel(id, attempt),
             (None, None) => {}
         }
     }
 
-    fn act(&mut self, wanted: Vec<Output<T, C::Response>>) {
-        for output in wanted {
+    fn perform(&mut self, outputs: Vec<Output<T, C::Response>>) {
+        for output in outputs {
             match output {
-                Output::Reply(told) => self.front.reply(told),
-                Output::Attempt(attempt) => self.attempt(attempt),
+                Output::Reply(reply) => self.front.reply(reply),
+                Output::Attempt(attempt) => self.start_attempt(attempt),
                 Output::CancelAttempt { id, attempt } => self.cancel(id, attempt),
-                Output::Probe { endpoint } => self.probe(endpoint),
+                Output::Probe { endpoint } => self.start_probe(endpoint),
                 Output::CloseIdle { endpoint } => self.carrier.close_idle(&endpoint),
-                Output::Log(words) => (self.log)(&words),
+                Output::Log(line) => (self.log)(&line),
             }
         }
     }
 
-    fn attempt(&mut self, attempt: Attempt) {
-        let (off, wanted) = oneshot::channel();
-        self.out.insert((attempt.id, attempt.attempt), off);
+    fn start_attempt(&mut self, attempt: Attempt) {
+        let (cancel, cancelled) = oneshot::channel();
+        self.cancellations.insert((attempt.id, attempt.attempt), cancel);
         let (carrier, engine) = (self.carrier.clone(), self.engine.clone());
         let (clock, log) = (self.clock, self.log);
-        let ending = Ending {
+        let report = AttemptReport {
             handle: self.handle.clone(),
-            of: (attempt.id, attempt.attempt),
-            began: Instant::now(),
+            attempt: (attempt.id, attempt.attempt),
+            started_at: Instant::now(),
             end: None,
         };
         tokio::task::spawn_local(async move {
-            let gate = At { engine, clock, log, attempt: &attempt };
-            ending.with(carrier.attempt(&attempt, &gate, Cancellation(wanted)).await);
+            let gate = AttemptGate { engine, clock, log, attempt: &attempt };
+            report.send(carrier.attempt(&attempt, &gate, Cancellation(cancelled)).await);
         });
     }
 
-    fn probe(&self, endpoint: String) {
+    fn start_probe(&self, endpoint: String) {
         let carrier = self.carrier.clone();
-        let seen = (Outcome::NoConnection, Vec::new());
-        let mut probing = Probing { handle: self.handle.clone(), endpoint, began: Instant::now(), seen };
+        let result = (Outcome::NoConnection, Vec::new());
+        let mut report =
+            ProbeReport { handle: self.handle.clone(), endpoint, started_at: Instant::now(), result };
         tokio::task::spawn_local(async move {
-            let seen = carrier.probe(&probing.endpoint).await;
-            probing.see(seen);
+            let result = carrier.probe(&report.endpoint).await;
+            report.set_result(result);
         });
     }
 }
 
-/// Tells what a probe showed, whatever happens to its task: the module waits for it.
-struct Probing<T, C: Carrier> {
+/// Reports the result of a probe when it is dropped, so also if the task panics: the decision module waits
+/// for it.
+struct ProbeReport<T, C: Carrier> {
     handle: Handle<T, C>,
     endpoint: String,
-    began: Instant,
-    seen: (Outcome, Vec<f64>),
+    started_at: Instant,
+    result: (Outcome, Vec<f64>),
 }
 
-impl<T, C: Carrier> Probing<T, C> {
-    fn see(&mut self, seen: (Outcome, Vec<f64>)) {
-        self.seen = seen;
+impl<T, C: Carrier> ProbeReport<T, C> {
+    fn set_result(&mut self, result: (Outcome, Vec<f64>)) {
+        self.result = result;
     }
 }
 
-impl<T, C: Carrier> Drop for Probing<T, C> {
+impl<T, C: Carrier> Drop for ProbeReport<T, C> {
     fn drop(&mut self) {
-        let took_ms = self.began.elapsed().as_secs_f64() * 1000.0;
-        let (endpoint, report) = (std::mem::take(&mut self.endpoint), std::mem::take(&mut self.seen.1));
-        let probed = Input::Probed { endpoint, outcome: self.seen.0, took_ms, report };
-        self.handle.put(Happened::Input(probed));
+        let took_ms = self.started_at.elapsed().as_secs_f64() * 1000.0;
+        let (endpoint, report) = (std::mem::take(&mut self.endpoint), std::mem::take(&mut self.result.1));
+        let probed = Input::Probed { endpoint, outcome: self.result.0, took_ms, report };
+        self.handle.put(QueuedEvent::Input(probed));
     }
 }
 
-/// Tells how an attempt ended, whatever happens to its task: one that panics may have run.
-struct Ending<T, C: Carrier> {
+/// Reports the end of an attempt when it is dropped, so also if the task panics. The attempt then counts as
+/// one that may have run.
+struct AttemptReport<T, C: Carrier> {
     handle: Handle<T, C>,
-    of: (u64, u32),
-    began: Instant,
+    /// Message and attempt number.
+    attempt: (u64, u32),
+    started_at: Instant,
     end: Option<AttemptEnd<C::Response>>,
 }
 
-impl<T, C: Carrier> Ending<T, C> {
-    fn with(mut self, end: AttemptEnd<C::Response>) {
+impl<T, C: Carrier> AttemptReport<T, C> {
+    fn send(mut self, end: AttemptEnd<C::Response>) {
         self.end = Some(end);
     }
 }
 
-impl<T, C: Carrier> Drop for Ending<T, C> {
+impl<T, C: Carrier> Drop for AttemptReport<T, C> {
     fn drop(&mut self) {
-        let (id, attempt) = self.of;
-        let took_ms = self.began.elapsed().as_secs_f64() * 1000.0;
+        let (id, attempt) = self.attempt;
+        let took_ms = self.started_at.elapsed().as_secs_f64() * 1000.0;
         let end = self.end.take().unwrap_or_else(|| AttemptEnd::without_response(Outcome::Broken));
-        self.handle.put(Happened::Input(Input::Ended { id, attempt, took_ms, end }));
+        self.handle.put(QueuedEvent::Input(Input::Ended { id, attempt, took_ms, end }));
     }
 }
 
-/// The gate of one attempt.
-struct At<'a, S, R> {
+/// The [`SendGate`] of one attempt.
+struct AttemptGate<'a, S, R> {
     engine: Rc<RefCell<Engine<S, R>>>,
     clock: Clock,
     log: fn(&str),
     attempt: &'a Attempt,
 }
 
-impl<S: Store, R> SendGate for At<'_, S, R> {
+impl<S: Store, R> SendGate for AttemptGate<'_, S, R> {
     fn begin(&self) -> bool {
         let Attempt { id, attempt, endpoint, .. } = self.attempt;
         let begun = self.engine.borrow_mut().begin(self.clock.now(), *id, *attempt, endpoint);
--- a/crates/runtime/src/traits.rs
+++ b/crates/runtime/src/traits.rs
@@ -1,38 +1,40 @@
-//! What stands on both sides of the engine.
+//! Interfaces of the two components that the engine sits between: the front and the carrier.
 
 use linenhall::{ListUpdate, Outcome};
 use mulleinslip_engine::{Attempt, AttemptEnd, FrontReply};
 use std::future::Future;
 use tokio::sync::oneshot;
 
-/// Hands messages in, by [`crate::Handle`], and is told each one's single final answer. `T` is what it hands in
-/// along with a message, `R` what the carrier brings back.
+/// Submits messages through [`crate::Handle`] and receives one final answer for each. `T` is the ticket that
+/// it submits along with a message, `R` the carrier's response type.
 pub trait Front<T, R> {
-    /// Called on the engine's thread, in the order of events; it must not block.
-    fn reply(&mut self, told: FrontReply<T, R>);
+    /// Receives a reply. Called on the engine's thread, in the order of events; it must not block.
+    fn reply(&mut self, reply: FrontReply<T, R>);
 
-    /// Whether whoever handed a message in, not yet taken on, still waits for an answer. If not, it is dropped.
+    /// Returns whether the sender of a message that is not yet accepted still waits for an answer. If not,
+    /// the message is dropped.
     fn waits(&self, _ticket: &T) -> bool {
         true
     }
 
-    /// Nobody waits for this message any more: it gets no final answer.
+    /// The sender no longer waits for this message, so it gets no final answer.
     fn withdrawn(&mut self, _id: u64) {}
 }
 
-/// To be passed before an attempt's first byte.
+/// Permission to send an attempt, to be requested before its first byte.
 pub trait SendGate {
-    /// Records that the attempt begins, and looks whether it may yet. If it gives `false`, nothing may be sent, and the
-    /// attempt ends as [`Outcome::NotSent`]. Asked again before each connection that it is tried on.
+    /// Records that the attempt begins, and returns whether it may still be sent. If not, nothing may be
+    /// sent, and the attempt ends as [`Outcome::NotSent`]. Must be called again before the attempt is sent on
+    /// another connection.
     fn begin(&self) -> bool;
 }
 
-/// Whether an attempt is called off.
+/// Tells a carrier that an attempt is cancelled.
 #[derive(Debug)]
 pub struct Cancellation(pub(crate) oneshot::Receiver<()>);
 
 impl Cancellation {
-    /// Ready once nobody waits for the attempt any more; else never.
+    /// Completes when the attempt is cancelled, and never otherwise.
     pub async fn requested(&mut self) {
         if (&mut self.0).await.is_err() {
             std::future::pending().await
@@ -40,34 +42,36 @@
     }
 }
 
-/// Makes attempts. It sends nothing again by itself, and passes the gate before the first byte.
+/// Makes attempts. It does no retries of its own, and calls [`SendGate::begin`] before the first byte of an
+/// attempt.
 pub trait Carrier: 'static {
-    /// What comes back from a partner.
+    /// A partner's response.
     type Response: 'static;
-    /// The list as it comes from discovery.
+    /// The host list as it comes from discovery.
     type List: 'static;
 
-    /// Takes a list over before the module hears of it.
+    /// Applies a list update, before the decision module gets it.
     fn apply_list(&self, list: Self::List) -> ListUpdate;
 
-    /// A message for this destination is about to be handed in: what is to be learnt of it first, where it was not in use.
+    /// Activates a destination before a message for it is submitted. Returns a list update that must be
+    /// applied first, if the destination was not active.
     fn activate(&self, _destination: u64) -> Option<Self::List> {
         None
     }
 
-    /// Forgets destinations that are too many, not used for longest, and of which `others` says that they have forgotten them:
-    /// see [`mulleinslip_engine::Engine::forget`]. Between two rounds.
-    fn forget(&self, _others: &mut dyn FnMut(u64) -> Option<bool>) {}
+    /// Evicts the least recently used destinations if there are too many, as far as `forget_in_engine` has
+    /// removed them too (see [`mulleinslip_engine::Engine::forget`]). Called between two rounds.
+    fn forget(&self, _forget_in_engine: &mut dyn FnMut(u64) -> Option<bool>) {}
 
-    /// Makes one attempt, within [`Attempt::wait_ms`]. If it is dropped, or panics, the attempt counts as one that
-    /// may have run.
+    /// Makes one attempt, within [`Attempt::wait_ms`]. If the future is dropped or panics, the attempt counts
+    /// as one that may have run.
     fn attempt(
-        &self, attempt: &Attempt, gate: &dyn SendGate, off: Cancellation,
+        &self, attempt: &Attempt, gate: &dyn SendGate, cancellation: Cancellation,
     ) -> impl Future<Output = AttemptEnd<Self::Response>>;
 
-    /// Looks how an endpoint does: its outcome and load report.
+    /// Probes an endpoint, and returns the outcome and the load report.
     fn probe(&self, endpoint: &str) -> impl Future<Output = (Outcome, Vec<f64>)>;
 
-    /// Closes connections to an endpoint that stand idle.
+    /// Closes the idle connections to an endpoint.
     fn close_idle(&self, endpoint: &str);
 }
