--- a/crates/engine/src/destination_table.rs
+++ b/crates/engine/src/destination_table.rs
@@ -115,7 +115,7 @@
         Endpoint { name: name.into(), destination, zone: 0, kind: 0, weight: 1.0, status }
     }
 
-    /// Guards against a destination that is dropped too early or kept for good: it stays in the table while
+    /// Guards against a destination that is removed too early or never: it stays in the table while
     /// it has hosts and for the retention time after it lost its last one, counted from the latest loss.
     #[test]
     fn keeps_destination_for_retention_time_after_its_last_host() {
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -138,8 +138,8 @@
         &mut self, id: u64, number: u32, may_have_run: bool, may_run_yet: bool,
     ) -> Result<(), Self::Error> {
         self.update(id, |message| {
-            for a in message.attempts.iter_mut().filter(|a| a.number == number) {
-                (a.may_have_run, a.may_run_yet) = (may_have_run, may_run_yet);
+            for attempt in message.attempts.iter_mut().filter(|a| a.number == number) {
+                (attempt.may_have_run, attempt.may_run_yet) = (may_have_run, may_run_yet);
             }
         })
     }
@@ -642,10 +642,10 @@
             self.store.0.borrow().messages.is_empty(),
             "seed {seed}: the store keeps messages that have ended"
         );
-        for (call_id, s) in &self.messages {
-            assert!(s.accepted != s.rejected, "seed {seed}: {call_id} got no reply, or two");
-            if s.accepted && !s.withdrawn {
-                assert!(!s.answers.is_empty(), "seed {seed}: {call_id} has no final answer");
+        for (call_id, state) in &self.messages {
+            assert!(state.accepted != state.rejected, "seed {seed}: {call_id} got no reply, or two");
+            if state.accepted && !state.withdrawn {
+                assert!(!state.answers.is_empty(), "seed {seed}: {call_id} has no final answer");
             }
         }
     }
@@ -653,10 +653,10 @@
     /// Returns the number of messages that were rejected, delivered, refused, failed and withdrawn.
     pub fn counts(&self) -> [usize; 5] {
         let mut counts = [0; 5];
-        for s in self.messages.values() {
-            let index = match s.answers.last() {
-                _ if s.rejected => 0,
-                _ if s.withdrawn => 4,
+        for state in self.messages.values() {
+            let index = match state.answers.last() {
+                _ if state.rejected => 0,
+                _ if state.withdrawn => 4,
                 Some(FinalAnswer::Refused { .. }) => 2,
                 Some(FinalAnswer::Failed { .. }) => 3,
                 _ => 1,
--- a/crates/runtime/src/serve.rs
+++ b/crates/runtime/src/serve.rs
@@ -324,8 +324,8 @@
                 }
                 inputs.push(Input::Submitted(message, ticket));
             }
-            // While another process is in charge, fronts submit nothing more, and their other events reach that
-            // process as well. Only the ends of attempts are forwarded from here.
+            // While another process is in charge, fronts submit nothing more, and their other events reach
+            // that process as well. Only the ends of attempts are forwarded from here.
             Input::Ended { id, attempt, took_ms, end } => {
                 self.cancellations.remove(&(id, attempt));
                 if self.is_owner() {
