--- a/crates/linenhall/src/audit.rs
+++ b/crates/linenhall/src/audit.rs
@@ -1,24 +1,25 @@
-//! What must hold between rounds, by plain walks over everything: what an index says is what a walk finds, and what
-//! could be sent is on its way. Nothing here decides; tests and models call it after each round.
+//! Consistency checks for the state between rounds, by walks over everything: what an index says must be what
+//! a walk finds, and what could be sent must have been sent. This module makes no decisions; tests and models
+//! call it after each round.
 
 use crate::fleet::BreakerState;
-use crate::index::At;
+use crate::index::OrderedF64;
 use crate::logic::Relay;
-use crate::state::{queued_message, Look};
+use crate::state::{queued_message, NextAction};
 use std::collections::BTreeMap;
 
-/// Fails with these words unless `holds`.
-fn want(holds: bool, words: impl FnOnce() -> String) -> Result<(), String> {
+/// Returns the message as an error unless `holds`.
+fn ensure(holds: bool, message: impl FnOnce() -> String) -> Result<(), String> {
     if holds {
         Ok(())
     } else {
-        Err(words())
+        Err(message())
     }
 }
 
 impl Relay {
-    /// Recounts all that is kept up from event to event. The error names the first thing that is not as it should be.
-    /// Costs a walk over all that is held, out and listed.
+    /// Checks everything that is updated from event to event. The error describes the first inconsistency
+    /// found. The cost is a walk over everything that is queued, in flight and listed.
     pub fn audit(&self) -> Result<(), String> {
         self.audit_messages()?;
         self.audit_calls()?;
@@ -27,101 +28,151 @@
     }
 
     fn audit_messages(&self) -> Result<(), String> {
-        let mut held = BTreeMap::<u64, usize>::new();
-        for (id, m) in self.msgs.walk() {
-            let sub_queue = self.f.dests.get(&m.dest).and_then(|d| d.sub_queues.get(&self.sub_queue_key(m)));
-            let ready = sub_queue.and_then(|g| g.ready(&queued_message(*id, m)));
-            want(ready.is_some() == m.held, || {
-                format!("message {id}: held {}, in its group {ready:?}", m.held)
+        let mut queued = BTreeMap::<u64, usize>::new();
+        for (id, message) in self.messages.walk() {
+            let sub_queue = self
+                .fleet
+                .destinations
+                .get(&message.destination_id)
+                .and_then(|destination| destination.sub_queues.get(&self.sub_queue_key(message)));
+            let ready = sub_queue.and_then(|sub_queue| sub_queue.readiness(&queued_message(*id, message)));
+            ensure(ready.is_some() == message.queued, || {
+                format!("message {id}: queued {}, in its sub-queue {ready:?}", message.queued)
             })?;
-            let end = m.held.then(|| At::new(self.last_send(m)));
-            want(self.ends.get(id) == end, || format!("message {id}: its end is not noted"))?;
+            let end = message.queued.then(|| OrderedF64::new(self.send_deadline(message)));
+            ensure(self.expiries.get(id) == end, || format!("message {id}: expiry is not recorded"))?;
             let Some(ready) = ready else {
-                want(self.resting.get(id).is_none(), || format!("message {id}: not held, and rests"))?;
+                ensure(self.blocked.get(id).is_none(), || {
+                    format!("message {id}: not queued, but recorded as blocked")
+                })?;
                 continue;
             };
-            *held.entry(m.dest).or_default() += 1;
-            let free = self.free_at(*id, m);
-            want(ready == (free <= self.now), || format!("message {id}: free at {free}, ready {ready}"))?;
-            let rest = (!ready && free < f64::MAX).then(|| At::new(free));
-            want(self.resting.get(id) == rest, || format!("message {id}: rests until {rest:?}, not noted"))?;
+            *queued.entry(message.destination_id).or_default() += 1;
+            let sendable_at = self.sendable_at(*id, message);
+            ensure(ready == (sendable_at <= self.now), || {
+                format!("message {id}: sendable at {sendable_at}, ready {ready}")
+            })?;
+            let blocked_until = (!ready && sendable_at < f64::MAX).then(|| OrderedF64::new(sendable_at));
+            ensure(self.blocked.get(id) == blocked_until, || {
+                format!("message {id}: blocked until {blocked_until:?}, not recorded")
+            })?;
         }
         let mut sums = (0, 0);
-        for (dest, d) in self.f.dests.walk() {
-            let count = held.get(dest).copied().unwrap_or(0);
-            want(d.held == count, || format!("destination {dest}: {count} held, {} noted", d.held))?;
-            want(d.mean_us == d.price_us(), || format!("destination {dest}: an old price"))?;
-            sums = if count > 0 { (sums.0 + 1, sums.1 + d.mean_us) } else { sums };
+        for (destination_id, destination) in self.fleet.destinations.walk() {
+            let count = queued.get(destination_id).copied().unwrap_or(0);
+            ensure(destination.queued == count, || {
+                format!("destination {destination_id}: {count} queued, {} recorded", destination.queued)
+            })?;
+            ensure(destination.slot_time_us == destination.current_slot_time_us(), || {
+                format!("destination {destination_id}: slot time is out of date")
+            })?;
+            sums = if count > 0 { (sums.0 + 1, sums.1 + destination.slot_time_us) } else { sums };
         }
-        want(self.backlogged == sums, || format!("backlogged {sums:?}, noted {:?}", self.backlogged))
+        ensure(self.backlogged == sums, || format!("backlogged {sums:?}, recorded {:?}", self.backlogged))
     }
 
     fn audit_calls(&self) -> Result<(), String> {
-        let (mut of_dest, mut of_host) = (BTreeMap::<u64, usize>::new(), BTreeMap::<&str, usize>::new());
+        let (mut calls_by_destination, mut calls_by_endpoint) =
+            (BTreeMap::<u64, usize>::new(), BTreeMap::<&str, usize>::new());
         for (id, call) in self.calls.walk() {
-            *of_dest.entry(call.group.0).or_default() += 1;
-            *of_host.entry(&call.kind.host).or_default() += 1;
-            let noted =
-                self.f.groups.get(&call.group).is_some_and(|l| l.calls.has(&call.kind, call.sent, *id));
-            want(noted, || format!("call {id}: its lane does not know it"))?;
-            let rides = |m: &u64| self.msgs.get(m).is_some_and(|m| m.flying.iter().any(|f| f.1 == *id));
-            want(call.riders.iter().all(rides), || format!("call {id}: a rider does not know it"))?;
+            *calls_by_destination.entry(call.group.0).or_default() += 1;
+            *calls_by_endpoint.entry(&call.kind.endpoint).or_default() += 1;
+            let recorded = self
+                .fleet
+                .groups
+                .get(&call.group)
+                .is_some_and(|group| group.calls.contains(&call.kind, call.sent_at, *id));
+            ensure(recorded, || format!("call {id}: not recorded in its endpoint group"))?;
+            let recorded_on_message = |message: &u64| {
+                self.messages.get(message).is_some_and(|message| message.in_flight.iter().any(|f| f.1 == *id))
+            };
+            ensure(call.message_ids.iter().all(recorded_on_message), || {
+                format!("call {id}: not recorded in one of its messages")
+            })?;
         }
-        for (dest, d) in self.f.dests.walk() {
-            let count = of_dest.get(dest).copied().unwrap_or(0);
-            want(d.out == count, || format!("destination {dest}: {count} out, {} noted", d.out))?;
+        for (destination_id, destination) in self.fleet.destinations.walk() {
+            let count = calls_by_destination.get(destination_id).copied().unwrap_or(0);
+            ensure(destination.calls_in_flight == count, || {
+                format!(
+                    "destination {destination_id}: {count} in flight, {} recorded",
+                    destination.calls_in_flight
+                )
+            })?;
         }
-        for (name, h) in self.f.hosts.walk() {
-            let count = of_host.get(&**name).copied().unwrap_or(0);
-            want(h.out == count, || format!("endpoint {name}: {count} out, {} noted", h.out))?;
+        for (name, host) in self.fleet.hosts.walk() {
+            let count = calls_by_endpoint.get(&**name).copied().unwrap_or(0);
+            ensure(host.calls_in_flight == count, || {
+                format!("endpoint {name}: {count} in flight, {} recorded", host.calls_in_flight)
+            })?;
         }
-        let off = self.calls.walk().filter(|x| x.1.called_off).count();
-        want(self.called_off == off, || format!("{off} called off, {} noted", self.called_off))
+        let cancelled = self.calls.walk().filter(|x| x.1.cancelled).count();
+        ensure(self.cancelled_calls == cancelled, || {
+            format!("{cancelled} cancelled, {} recorded", self.cancelled_calls)
+        })
     }
 
     fn audit_groups(&self) -> Result<(), String> {
-        for (id, l) in self.f.groups.walk() {
-            let late = self.late_at(l).map(At::new);
-            want(self.late.get(id) == late, || format!("lane {id:?}: late at {late:?} is not noted"))?;
-            let over = self.overdue_at(l).map(|(at, call)| (At::new(at), call));
-            want(self.overdue.get(id) == over, || format!("lane {id:?}: overdue {over:?} is not noted"))?;
-            let unwell = self.f.unwell.has(id);
-            want(unwell == (l.phase != BreakerState::Closed), || {
-                format!("lane {id:?}: {:?} is not noted", l.phase)
+        for (id, group) in self.fleet.groups.walk() {
+            let overrun_at = self.overrun_at(group).map(OrderedF64::new);
+            ensure(self.overrun_checks.get(id) == overrun_at, || {
+                format!("group {id:?}: overrun at {overrun_at:?} is not recorded")
+            })?;
+            let overdue = self.overdue_at(group).map(|(at, call)| (OrderedF64::new(at), call));
+            ensure(self.overdue_calls.get(id) == overdue, || {
+                format!("group {id:?}: overdue call {overdue:?} is not recorded")
+            })?;
+            let unhealthy = self.fleet.unhealthy.contains(id);
+            ensure(unhealthy == (group.breaker != BreakerState::Closed), || {
+                format!("group {id:?}: breaker state {:?} is not recorded", group.breaker)
             })?;
         }
         Ok(())
     }
 
     fn audit_destinations(&self) -> Result<(), String> {
-        let free = self.calls.len() < self.s.slots;
-        for (dest, d) in self.f.dests.walk() {
-            // What a ramping lane bears changes with time alone, up and down: it is looked at now and then.
-            let ramps = self.f.groups_of(*dest).any(|x| matches!(x.1.phase, BreakerState::SlowStart(_)));
-            let may_send = self.credits.has(*dest);
-            let weighed = self.earns.get(dest).is_some() || self.unweighed.contains(dest);
-            let counts = self.weighing && self.least(*dest).is_some();
-            want(weighed || !counts, || format!("destination {dest}: not weighed"))?;
-            want(d.held > 0 || !may_send, || format!("destination {dest}: a turn for nothing"))?;
-            match self.look(*dest) {
-                Look::Send(..) if ramps => {}
-                Look::Send(id, host) => {
-                    want(may_send, || format!("destination {dest}: would send {id} to {host}, has no turn"))?;
-                    want(!free, || format!("destination {dest}: {id} waits with a slot free"))?;
+        let slot_free = self.calls.len() < self.settings.slots;
+        for (destination_id, destination) in self.fleet.destinations.walk() {
+            // The capacity of a group in slow start changes with time alone, up and down; it is checked again
+            // at intervals.
+            let slow_start = self
+                .fleet
+                .groups_of(*destination_id)
+                .any(|x| matches!(x.1.breaker, BreakerState::SlowStart(_)));
+            let may_send = self.credits.contains(*destination_id);
+            let value_rate_current = self.value_rates.get(destination_id).is_some()
+                || self.stale_value_rates.contains(destination_id);
+            let value_rate_needed = self.tracks_value_rates && self.least_valuable(*destination_id).is_some();
+            ensure(value_rate_current || !value_rate_needed, || {
+                format!("destination {destination_id}: no value rate is recorded")
+            })?;
+            ensure(destination.queued > 0 || !may_send, || {
+                format!("destination {destination_id}: may send, but nothing is queued")
+            })?;
+            match self.next_action(*destination_id) {
+                NextAction::Send(..) if slow_start => {}
+                NextAction::Send(id, endpoint) => {
+                    ensure(may_send, || {
+                        format!("destination {destination_id}: would send {id} to {endpoint} but has no turn")
+                    })?;
+                    ensure(!slot_free, || {
+                        format!("destination {destination_id}: {id} waits although a slot is free")
+                    })?;
                 }
-                Look::Probe(host) => {
-                    // With routes apart time alone may make a route the first choice: its turn brings the probe.
-                    want(self.probing.contains_key(dest) || may_send, || {
-                        format!("no probe of {host} is to come")
+                NextAction::Probe(endpoint) => {
+                    // Where each endpoint has its own limit, time alone may make another endpoint the first
+                    // choice: the probe then follows when the destination's turn comes.
+                    ensure(self.pending_probes.contains_key(destination_id) || may_send, || {
+                        format!("no probe of {endpoint} is scheduled")
                     })?;
                 }
-                Look::Nothing => {
-                    let (next, wake) = (self.next_open(*dest), self.wakes.get(dest));
-                    let woken =
-                        ramps || next.is_none_or(|next| wake.is_some_and(|wake| wake.get() <= next + 1e-6));
-                    want(woken || may_send, || {
+                NextAction::Nothing => {
+                    let (next, wake) =
+                        (self.next_sendable_at(*destination_id), self.wake_times.get(destination_id));
+                    let wake_scheduled = slow_start
+                        || next.is_none_or(|next| wake.is_some_and(|wake| wake.get() <= next + 1e-6));
+                    ensure(wake_scheduled || may_send, || {
                         format!(
-                            "destination {dest}: opens at {next:?}, is woken at {wake:?}, now {}",
+                            "destination {destination_id}: may send at {next:?}, wakes at {wake:?}, now {}",
                             self.now
                         )
                     })?;
--- a/crates/linenhall/src/index/mod.rs
+++ b/crates/linenhall/src/index/mod.rs
@@ -1,12 +1,13 @@
 //! Ordered structures that the decision module keeps up to date, so that an event costs the logarithm of what
-//! is held and never a walk over it. Nothing here decides, knows the time or does I/O.
+//! is queued and never a walk over it. Nothing here makes decisions, knows the time or does I/O.
 //!
-//! In builds with debug assertions each comparison in them and each row walked over is counted ([`steps`]):
-//! tests hold the module's cost to that figure, which no machine's speed moves.
+//! In builds with debug assertions, every comparison in these structures and every row walked over is counted
+//! ([`steps`]): tests bound the cost of the module by this count, which does not depend on the speed of the
+//! machine.
 
-pub mod agenda;
 pub mod credits;
 pub mod group_calls;
+pub mod ordered_index;
 pub mod sub_queue;
 pub mod table;
 
@@ -25,46 +26,46 @@
     }
 }
 
-/// Elementary steps (comparisons and visits) taken by this thread so far; 0 without debug assertions.
+/// Returns the elementary steps (comparisons and visits) of this thread so far; 0 without debug assertions.
 pub fn steps() -> u64 {
     STEPS.with(Cell::get)
 }
 
-/// A time or another figure as an ordered key: the order is [`f64::total_cmp`]'s.
+/// A time or another number as an ordered key, in the order of [`f64::total_cmp`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct At(u64);
+pub struct OrderedF64(u64);
 
-impl At {
-    /// After every time.
-    pub const NEVER: At = At(u64::MAX);
+impl OrderedF64 {
+    /// Sorts after every time.
+    pub const NEVER: OrderedF64 = OrderedF64(u64::MAX);
 
-    /// The key of a figure. Minus zero counts as zero, so that equal figures have equal keys.
-    pub fn new(x: f64) -> At {
+    /// Returns the key of a number. Minus zero counts as zero, so that equal numbers have equal keys.
+    pub fn new(x: f64) -> OrderedF64 {
         let bits = (x + 0.0).to_bits();
-        At(if bits >> 63 == 0 { bits | 1 << 63 } else { !bits })
+        OrderedF64(if bits >> 63 == 0 { bits | 1 << 63 } else { !bits })
     }
 
-    /// The figure.
+    /// Returns the number.
     pub fn get(self) -> f64 {
         f64::from_bits(if self.0 >> 63 == 1 { self.0 & !(1 << 63) } else { !self.0 })
     }
 }
 
-impl Ord for At {
-    fn cmp(&self, other: &At) -> Ordering {
+impl Ord for OrderedF64 {
+    fn cmp(&self, other: &OrderedF64) -> Ordering {
         step();
         self.0.cmp(&other.0)
     }
 }
 
-impl PartialOrd for At {
-    fn partial_cmp(&self, other: &At) -> Option<Ordering> {
+impl PartialOrd for OrderedF64 {
+    fn partial_cmp(&self, other: &OrderedF64) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-/// A number for the name, another one for each salt: FNV-1a over both, mixed as SplitMix64 ends.
-pub fn spread(salt: u64, name: &str) -> u64 {
+/// Returns a hash of a name that differs with the salt: FNV-1a over both, with the final mix of SplitMix64.
+pub fn salted_hash(salt: u64, name: &str) -> u64 {
     let bytes = salt.to_le_bytes().into_iter().chain(name.bytes());
     let hash =
         bytes.fold(0xcbf2_9ce4_8422_2325, |h: u64, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
@@ -77,20 +78,20 @@
     use super::*;
 
     #[test]
-    fn keys_are_in_the_order_of_their_figures_and_give_them_back() {
-        let figures = [f64::NEG_INFINITY, -3.5, -1e-300, 0.0, 1e-300, 1.0, 1.0f64.next_up(), 1e15, f64::MAX];
-        for pair in figures.windows(2) {
-            assert!(At::new(pair[0]) < At::new(pair[1]), "{pair:?}");
+    fn keys_sort_like_their_values_and_convert_back() {
+        let values = [f64::NEG_INFINITY, -3.5, -1e-300, 0.0, 1e-300, 1.0, 1.0f64.next_up(), 1e15, f64::MAX];
+        for pair in values.windows(2) {
+            assert!(OrderedF64::new(pair[0]) < OrderedF64::new(pair[1]), "{pair:?}");
         }
-        assert!(figures.iter().all(|x| At::new(*x).get() == *x));
-        assert_eq!(At::new(-0.0), At::new(0.0));
-        assert!(At::new(f64::INFINITY) < At::NEVER);
+        assert!(values.iter().all(|x| OrderedF64::new(*x).get() == *x));
+        assert_eq!(OrderedF64::new(-0.0), OrderedF64::new(0.0));
+        assert!(OrderedF64::new(f64::INFINITY) < OrderedF64::NEVER);
     }
 
     #[test]
-    fn comparisons_are_counted() {
+    fn counts_comparisons() {
         let before = steps();
-        let _less = At::new(1.0) < At::new(2.0);
+        let _less = OrderedF64::new(1.0) < OrderedF64::new(2.0);
         assert_eq!(steps() - before, u64::from(cfg!(debug_assertions)));
     }
 }
--- a/crates/linenhall/src/index/ordered_index.rs
+++ b/crates/linenhall/src/index/ordered_index.rs
@@ -1,28 +1,29 @@
-//! Things ordered by a figure that may be changed at any time: deadlines, gates, rests, scores.
+//! Keys ordered by a value that may change at any time: deadlines, times from which calls are allowed, ends
+//! of pauses, value rates.
 
-use super::At;
+use super::OrderedF64;
 use foldhash::fast::RandomState;
 use std::borrow::Borrow;
 use std::collections::{BTreeSet, HashMap};
 use std::hash::Hash;
 
-/// Keys, each with one place in an order. Setting, dropping and finding the first cost O(log n).
+/// Keys, each with one place in an order. Setting, removing and finding the first cost O(log n).
 #[derive(Clone, Debug)]
-pub struct Agenda<P, K> {
-    place: HashMap<K, P, RandomState>,
+pub struct OrderedIndex<P, K> {
+    places: HashMap<K, P, RandomState>,
     order: BTreeSet<(P, K)>,
 }
 
-impl<P, K> Default for Agenda<P, K> {
+impl<P, K> Default for OrderedIndex<P, K> {
     fn default() -> Self {
-        Agenda { place: HashMap::default(), order: BTreeSet::new() }
+        OrderedIndex { places: HashMap::default(), order: BTreeSet::new() }
     }
 }
 
-impl<P: Copy + Ord, K: Clone + Eq + Hash + Ord> Agenda<P, K> {
-    /// Puts a key at a place, and takes it from where it was.
+impl<P: Copy + Ord, K: Clone + Eq + Hash + Ord> OrderedIndex<P, K> {
+    /// Sets the place of a key.
     pub fn set(&mut self, key: K, place: P) {
-        match self.place.insert(key.clone(), place) {
+        match self.places.insert(key.clone(), place) {
             Some(old) if old == place => return,
             Some(old) => drop(self.order.remove(&(old, key.clone()))),
             None => {}
@@ -30,67 +31,67 @@
         self.order.insert((place, key));
     }
 
-    /// Takes a key out.
-    pub fn drop<Q: Eq + Hash + ?Sized>(&mut self, key: &Q)
+    /// Removes a key.
+    pub fn remove<Q: Eq + Hash + ?Sized>(&mut self, key: &Q)
     where
         K: Borrow<Q>,
     {
-        if let Some((key, place)) = self.place.remove_entry(key) {
+        if let Some((key, place)) = self.places.remove_entry(key) {
             self.order.remove(&(place, key));
         }
     }
 
-    /// Puts a key at a place, or takes it out where there is none.
-    pub fn place(&mut self, key: &K, place: Option<P>) {
+    /// Sets the place of a key, or removes the key if there is none.
+    pub fn set_or_remove(&mut self, key: &K, place: Option<P>) {
         match place {
             Some(place) => self.set(key.clone(), place),
-            None => self.drop(key),
+            None => self.remove(key),
         }
     }
 
-    /// Where a key stands.
+    /// Returns the place of a key.
     pub fn get<Q: Eq + Hash + ?Sized>(&self, key: &Q) -> Option<P>
     where
         K: Borrow<Q>,
     {
-        self.place.get(key).copied()
+        self.places.get(key).copied()
     }
 
-    /// The first key and its place.
+    /// Returns the first key and its place.
     pub fn first(&self) -> Option<(P, &K)> {
         self.order.first().map(|(place, key)| (*place, key))
     }
 
-    /// The keys in order. Whoever walks them bounds the walk.
+    /// Iterates over the keys in order. The caller bounds the iteration.
     pub fn iter(&self) -> impl Iterator<Item = (P, &K)> {
         self.order.iter().map(|(place, key)| (*place, key))
     }
 
-    /// How many keys there are.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.order.len()
     }
 
-    /// Drops all.
+    /// Removes all keys.
     pub fn clear(&mut self) {
-        self.place.clear();
+        self.places.clear();
         self.order.clear();
     }
 }
 
-impl<K: Clone + Eq + Hash + Ord> Agenda<At, K> {
-    /// Takes out the first key if its time has come.
+impl<K: Clone + Eq + Hash + Ord> OrderedIndex<OrderedF64, K> {
+    /// Removes and returns the first key if its time has come.
     pub fn pop_due(&mut self, now: f64) -> Option<K> {
-        if self.order.first().is_none_or(|(at, _)| *at > At::new(now)) {
+        if self.order.first().is_none_or(|(at, _)| *at > OrderedF64::new(now)) {
             return None;
         }
         let (_, key) = self.order.pop_first()?;
-        self.place.remove(&key);
+        self.places.remove(&key);
         Some(key)
     }
 
-    /// The time of the first key.
-    pub fn next(&self) -> f64 {
+    /// Returns the time of the first key; `f64::MAX` if there is none.
+    pub fn next_time(&self) -> f64 {
         self.order.first().map_or(f64::MAX, |(at, _)| at.get())
     }
 }
@@ -100,38 +101,40 @@
     use super::*;
 
     #[test]
-    fn it_agrees_with_a_sorted_list_under_random_changes() {
+    fn agrees_with_sorted_list_under_random_changes() {
         let mut rng = fastrand::Rng::with_seed(11);
-        let mut agenda: Agenda<At, u32> = Agenda::default();
+        let mut ordered_index: OrderedIndex<OrderedF64, u32> = OrderedIndex::default();
         let mut list: Vec<(u32, u64)> = Vec::new();
         for _ in 0..20_000 {
             let (key, at) = (rng.u32(0..200), rng.u64(0..50));
             list.retain(|x| x.0 != key);
             if rng.f64() < 0.7 {
-                agenda.set(key, At::new(at as f64));
+                ordered_index.set(key, OrderedF64::new(at as f64));
                 list.push((key, at));
             } else {
-                agenda.drop(&key);
+                ordered_index.remove(&key);
             }
             let first = list.iter().map(|x| (x.1, x.0)).min();
-            assert_eq!(agenda.first().map(|(at, key)| (at.get() as u64, *key)), first);
-            assert_eq!(agenda.len(), list.len());
-            assert_eq!(agenda.place.len(), list.len());
+            assert_eq!(ordered_index.first().map(|(at, key)| (at.get() as u64, *key)), first);
+            assert_eq!(ordered_index.len(), list.len());
+            assert_eq!(ordered_index.places.len(), list.len());
         }
     }
 
     #[test]
-    fn what_is_due_comes_out_in_order_and_no_more() {
-        let mut agenda = Agenda::default();
-        [(1, 30.0), (2, 10.0), (3, 20.0), (2, 25.0)].into_iter().for_each(|(k, t)| agenda.set(k, At::new(t)));
-        assert_eq!(agenda.next(), 20.0);
-        assert_eq!(agenda.pop_due(19.0), None);
+    fn pop_due_returns_only_due_keys_in_order() {
+        let mut ordered_index = OrderedIndex::default();
+        [(1, 30.0), (2, 10.0), (3, 20.0), (2, 25.0)]
+            .into_iter()
+            .for_each(|(k, t)| ordered_index.set(k, OrderedF64::new(t)));
+        assert_eq!(ordered_index.next_time(), 20.0);
+        assert_eq!(ordered_index.pop_due(19.0), None);
         assert_eq!(
-            [agenda.pop_due(25.0), agenda.pop_due(25.0), agenda.pop_due(25.0)],
+            [ordered_index.pop_due(25.0), ordered_index.pop_due(25.0), ordered_index.pop_due(25.0)],
             [Some(3), Some(2), None]
         );
-        assert_eq!(agenda.next(), 30.0);
-        agenda.place(&1, None);
-        assert_eq!(agenda.next(), f64::MAX);
+        assert_eq!(ordered_index.next_time(), 30.0);
+        ordered_index.set_or_remove(&1, None);
+        assert_eq!(ordered_index.next_time(), f64::MAX);
     }
 }
--- a/crates/linenhall/src/index/sub_queue.rs
+++ b/crates/linenhall/src/index/sub_queue.rs
@@ -1,93 +1,98 @@
-//! The held messages of one destination that differ in nothing but their time: one class, one tenant.
+//! The queued messages of one destination that differ only in their times: same class, same tenant.
 
-use super::At;
+use super::OrderedF64;
 use std::collections::BTreeSet;
 use std::ops::Bound;
 
-/// A held message: until when it may be delivered, its place in the order of arrival, its id, and since when it
-/// ages. What ranks it stands here, so that ranking does not fetch the message itself, which is seldom in a cache.
+/// A queued message: the time until which it may be delivered, its place in the order of arrival, its id, and
+/// the time since which it ages. Everything that ranks it is stored here, so that ranking does not load the
+/// message itself, which is seldom in a cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueuedMessage {
-    pub due: At,
+    pub due: OrderedF64,
     pub seq: u64,
     pub id: u64,
-    pub born: At,
+    pub arrived_at: OrderedF64,
 }
 
 impl QueuedMessage {
-    /// Ahead of all that are due then.
-    fn ahead(due: At) -> QueuedMessage {
-        QueuedMessage { due, seq: 0, id: 0, born: At::new(f64::NEG_INFINITY) }
+    /// Returns an entry that sorts before all that are due at this time.
+    fn lower_bound(due: OrderedF64) -> QueuedMessage {
+        QueuedMessage { due, seq: 0, id: 0, arrived_at: OrderedF64::new(f64::NEG_INFINITY) }
     }
 }
 
-/// A group by due time, what may go and what is held back by something of its own.
+/// Messages by due time: those that may be sent, and those that their own state blocks.
 #[derive(Clone, Debug, Default)]
 pub struct SubQueue {
     ready: BTreeSet<QueuedMessage>,
-    later: BTreeSet<QueuedMessage>,
+    blocked: BTreeSet<QueuedMessage>,
 }
 
 impl SubQueue {
-    /// Puts a member where it belongs.
-    pub fn put(&mut self, queued_message: QueuedMessage, ready: bool) {
-        if ready { &mut self.ready } else { &mut self.later }.insert(queued_message);
+    /// Adds a message.
+    pub fn insert(&mut self, queued_message: QueuedMessage, ready: bool) {
+        if ready { &mut self.ready } else { &mut self.blocked }.insert(queued_message);
     }
 
-    /// Takes a member out.
-    pub fn take(&mut self, queued_message: QueuedMessage) {
+    /// Removes a message.
+    pub fn remove(&mut self, queued_message: QueuedMessage) {
         if !self.ready.remove(&queued_message) {
-            self.later.remove(&queued_message);
+            self.blocked.remove(&queued_message);
         }
     }
 
-    /// Nothing is in it.
+    /// Whether there are no messages.
     pub fn is_empty(&self) -> bool {
-        self.ready.is_empty() && self.later.is_empty()
+        self.ready.is_empty() && self.blocked.is_empty()
     }
 
-    /// Whether a member is here, and may go.
-    pub fn ready(&self, queued_message: &QueuedMessage) -> Option<bool> {
+    /// Returns whether a message may be sent; `None` if it is not here.
+    pub fn readiness(&self, queued_message: &QueuedMessage) -> Option<bool> {
         let ready = self.ready.contains(queued_message);
-        (ready || self.later.contains(queued_message)).then_some(ready)
+        (ready || self.blocked.contains(queued_message)).then_some(ready)
     }
 
-    /// The member that is due first, ready or not; of those the oldest.
+    /// Returns the message that is due first, ready or not; of several the oldest.
     pub fn first(&self) -> Option<QueuedMessage> {
-        [self.ready.first(), self.later.first()].into_iter().flatten().min().copied()
+        [self.ready.first(), self.blocked.first()].into_iter().flatten().min().copied()
     }
 
-    /// The member that is due last, ready or not; of those the youngest.
+    /// Returns the message that is due last, ready or not; of several the youngest.
     pub fn last(&self) -> Option<QueuedMessage> {
-        self.ready.last().max(self.later.last()).copied()
+        self.ready.last().max(self.blocked.last()).copied()
     }
 
-    /// The first ready member that is due at `from` or later.
-    pub fn from(&self, from: f64) -> Option<QueuedMessage> {
-        self.ready.range(QueuedMessage::ahead(At::new(from))..).next().copied()
+    /// Returns the first ready message that is due at `from` or later.
+    pub fn first_due_from(&self, from: f64) -> Option<QueuedMessage> {
+        self.ready.range(QueuedMessage::lower_bound(OrderedF64::new(from))..).next().copied()
     }
 
-    /// The last ready member that is due before `until`: of those due at the same time the oldest.
-    fn before(&self, until: At) -> Option<QueuedMessage> {
-        let end = QueuedMessage::ahead(until);
+    /// Returns the last ready message that is due before `until`; of those due at the same time the oldest.
+    fn last_due_before(&self, until: OrderedF64) -> Option<QueuedMessage> {
+        let end = QueuedMessage::lower_bound(until);
         let last = self.ready.range((Bound::Unbounded, Bound::Excluded(end))).next_back()?;
-        self.ready.range(QueuedMessage::ahead(last.due)..).next().copied()
+        self.ready.range(QueuedMessage::lower_bound(last.due)..).next().copied()
     }
 
-    /// The ready members that may be foremost where the order within each span between two `marks` (sorted)
-    /// rises or falls evenly with the due time: the ends of each span. `low` to `high`, both counting in.
-    pub fn ends(&self, low: f64, high: f64, marks: &[f64], visit: &mut dyn FnMut(QueuedMessage)) {
-        let (mut from, high) = (low, At::new(high));
-        while let Some(first) = self.from(from).filter(|m| m.due <= high) {
+    /// Visits the ready messages that can be the best one when the order within each span between two sorted
+    /// `breakpoints` only rises or only falls with the due time: the ends of each span. Due times from
+    /// `min_due` to `max_due`, both inclusive, count.
+    pub fn visit_candidates(
+        &self, min_due: f64, max_due: f64, breakpoints: &[f64], visit: &mut dyn FnMut(QueuedMessage),
+    ) {
+        let (mut from, max_due) = (min_due, OrderedF64::new(max_due));
+        while let Some(first) = self.first_due_from(from).filter(|m| m.due <= max_due) {
             visit(first);
-            let mark = marks.iter().copied().find(|mark| At::new(*mark) > first.due);
-            let until = mark.map_or(At::NEVER, At::new);
-            let beyond = At::new(high.get().next_up());
-            if let Some(last) = self.before(until.min(beyond)).filter(|m| m.id != first.id) {
+            let breakpoint =
+                breakpoints.iter().copied().find(|breakpoint| OrderedF64::new(*breakpoint) > first.due);
+            let until = breakpoint.map_or(OrderedF64::NEVER, OrderedF64::new);
+            let beyond = OrderedF64::new(max_due.get().next_up());
+            if let Some(last) = self.last_due_before(until.min(beyond)).filter(|m| m.id != first.id) {
                 visit(last);
             }
-            let Some(mark) = mark else { return };
-            from = mark;
+            let Some(breakpoint) = breakpoint else { return };
+            from = breakpoint;
         }
     }
 }
@@ -97,48 +102,49 @@
     use super::*;
 
     fn queued_message(due: f64, seq: u64) -> QueuedMessage {
-        QueuedMessage { due: At::new(due), seq, id: seq, born: At::new(0.0) }
+        QueuedMessage { due: OrderedF64::new(due), seq, id: seq, arrived_at: OrderedF64::new(0.0) }
     }
 
-    /// With an order that rises or falls between marks, the foremost is always among the ends.
+    /// When the order rises or falls monotonically between breakpoints, the best message is always among the
+    /// candidates.
     #[test]
-    fn the_foremost_of_a_piecewise_order_is_among_the_ends() {
+    fn best_message_of_piecewise_monotonic_order_is_a_candidate() {
         let mut rng = fastrand::Rng::with_seed(5);
         for round in 0..2000 {
             let mut sub_queue = SubQueue::default();
-            let members: Vec<QueuedMessage> =
+            let messages: Vec<QueuedMessage> =
                 (0..rng.u64(0..40)).map(|seq| queued_message(rng.u32(0..60) as f64, seq)).collect();
-            members.iter().for_each(|m| sub_queue.put(*m, true));
-            let mut marks: Vec<f64> = (0..rng.usize(0..5)).map(|_| rng.u32(0..60) as f64).collect();
-            marks.sort_by(f64::total_cmp);
+            messages.iter().for_each(|m| sub_queue.insert(*m, true));
+            let mut breakpoints: Vec<f64> = (0..rng.usize(0..5)).map(|_| rng.u32(0..60) as f64).collect();
+            breakpoints.sort_by(f64::total_cmp);
             let slopes: Vec<f64> = (0..6).map(|_| f64::from(rng.i32(-1..=1))).collect();
             let level = |due: f64| {
-                let span = marks.iter().filter(|m| **m <= due).count();
+                let span = breakpoints.iter().filter(|m| **m <= due).count();
                 100.0 * slopes[5 - span.min(5)] + slopes[span] * due
             };
-            let (low, high) = (rng.u32(0..30) as f64, rng.u32(20..70) as f64);
-            let foremost = |it: &mut dyn Iterator<Item = QueuedMessage>| {
-                it.map(|m| (At::new(-level(m.due.get())), m.due, m.seq)).min()
+            let (min_due, max_due) = (rng.u32(0..30) as f64, rng.u32(20..70) as f64);
+            let best_of = |it: &mut dyn Iterator<Item = QueuedMessage>| {
+                it.map(|m| (OrderedF64::new(-level(m.due.get())), m.due, m.seq)).min()
             };
-            let mut ends = Vec::new();
-            sub_queue.ends(low, high, &marks, &mut |m| ends.push(m));
-            let inside = members.iter().filter(|m| (low..=high).contains(&m.due.get()));
-            let best = foremost(&mut inside.copied());
-            assert_eq!(foremost(&mut ends.iter().copied()), best, "round {round}");
-            assert!(ends.len() <= 2 * (marks.len() + 1));
+            let mut candidates = Vec::new();
+            sub_queue.visit_candidates(min_due, max_due, &breakpoints, &mut |m| candidates.push(m));
+            let inside = messages.iter().filter(|m| (min_due..=max_due).contains(&m.due.get()));
+            let best = best_of(&mut inside.copied());
+            assert_eq!(best_of(&mut candidates.iter().copied()), best, "round {round}");
+            assert!(candidates.len() <= 2 * (breakpoints.len() + 1));
         }
     }
 
     #[test]
-    fn what_is_held_back_is_not_offered_but_counts_as_the_last() {
+    fn blocked_message_is_no_candidate_but_counts_as_last() {
         let mut sub_queue = SubQueue::default();
-        sub_queue.put(queued_message(1.0, 1), true);
-        sub_queue.put(queued_message(2.0, 2), false);
-        let mut ends = Vec::new();
-        sub_queue.ends(0.0, 9.0, &[], &mut |m| ends.push(m.seq));
-        assert_eq!((ends, sub_queue.last().map(|m| m.seq)), (vec![1], Some(2)));
-        sub_queue.take(queued_message(2.0, 2));
-        sub_queue.take(queued_message(1.0, 1));
-        assert!(sub_queue.is_empty() && sub_queue.from(0.0).is_none());
+        sub_queue.insert(queued_message(1.0, 1), true);
+        sub_queue.insert(queued_message(2.0, 2), false);
+        let mut candidates = Vec::new();
+        sub_queue.visit_candidates(0.0, 9.0, &[], &mut |m| candidates.push(m.seq));
+        assert_eq!((candidates, sub_queue.last().map(|m| m.seq)), (vec![1], Some(2)));
+        sub_queue.remove(queued_message(2.0, 2));
+        sub_queue.remove(queued_message(1.0, 1));
+        assert!(sub_queue.is_empty() && sub_queue.first_due_from(0.0).is_none());
     }
 }
--- a/crates/linenhall/src/index/table.rs
+++ b/crates/linenhall/src/index/table.rs
@@ -1,4 +1,4 @@
-//! A hash table that counts its walks.
+//! A hash table that counts look-ups and walks.
 
 use super::step;
 use foldhash::fast::RandomState;
@@ -6,9 +6,9 @@
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// A map by key. foldhash: seeded, and made for short keys, of which an event looks up some twenty; what it gains
-/// alone was not measured. A look-up is one step; a walk, in no order, is a step a row: so a walk on the way of an event
-/// shows in the count of steps, however fast the machine.
+/// A map by key. It hashes with foldhash, which is seeded and made for short keys; one event looks up some
+/// twenty of them. A look-up counts as one step, and a walk, in no particular order, as one step per row: a
+/// walk that an event causes shows in the count of steps, however fast the machine is.
 #[derive(Clone, Debug)]
 pub struct Table<K, V>(HashMap<K, V, RandomState>);
 
@@ -19,7 +19,7 @@
 }
 
 impl<K: Eq + Hash, V> Table<K, V> {
-    /// The row of a key.
+    /// Returns the row of a key.
     pub fn get<Q: Eq + Hash + ?Sized>(&self, key: &Q) -> Option<&V>
     where
         K: Borrow<Q>,
@@ -28,7 +28,7 @@
         self.0.get(key)
     }
 
-    /// The same, to change it.
+    /// Returns the row of a key for changes.
     pub fn get_mut<Q: Eq + Hash + ?Sized>(&mut self, key: &Q) -> Option<&mut V>
     where
         K: Borrow<Q>,
@@ -37,7 +37,7 @@
         self.0.get_mut(key)
     }
 
-    /// Whether there is such a row.
+    /// Whether the key has a row.
     pub fn contains_key<Q: Eq + Hash + ?Sized>(&self, key: &Q) -> bool
     where
         K: Borrow<Q>,
@@ -46,19 +46,19 @@
         self.0.contains_key(key)
     }
 
-    /// The row of a key, made where it was missing.
+    /// Returns the row of a key, created if it was missing.
     pub fn or_insert_with(&mut self, key: K, make: impl FnOnce() -> V) -> &mut V {
         step();
         self.0.entry(key).or_insert_with(make)
     }
 
-    /// Sets a row.
+    /// Sets a row and returns the previous one.
     pub fn insert(&mut self, key: K, value: V) -> Option<V> {
         step();
         self.0.insert(key, value)
     }
 
-    /// Takes a row out. A table that was far larger once gives its room back.
+    /// Removes a row. A table that was far larger before releases memory.
     pub fn remove<Q: Eq + Hash + ?Sized>(&mut self, key: &Q) -> Option<V>
     where
         K: Borrow<Q>,
@@ -71,17 +71,17 @@
         old
     }
 
-    /// Rows.
+    /// Returns the number of rows.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// All rows, in no order: a step for each.
+    /// Iterates over all rows, in no order; each row is one step.
     pub fn walk(&self) -> impl Iterator<Item = (&K, &V)> {
         self.0.iter().inspect(|_| step())
     }
 
-    /// The same, to change them.
+    /// Iterates over all rows for changes.
     pub fn walk_mut(&mut self) -> impl Iterator<Item = (&K, &mut V)> {
         self.0.iter_mut().inspect(|_| step())
     }
@@ -93,22 +93,22 @@
     use super::*;
 
     #[test]
-    fn a_walk_costs_a_step_a_row_and_a_look_up_one() {
+    fn counts_one_step_per_lookup_and_per_row_walked() {
         let mut table = Table::default();
         for n in 0..1000 {
             table.insert(n, n);
         }
         let before = steps();
         assert_eq!(table.get(&7), Some(&7));
-        let looked = steps() - before;
+        let cached_action = steps() - before;
         assert_eq!(table.walk().count(), 1000);
         if cfg!(debug_assertions) {
-            assert_eq!((looked, steps() - before), (1, 1001));
+            assert_eq!((cached_action, steps() - before), (1, 1001));
         }
     }
 
     #[test]
-    fn a_table_that_was_large_gives_its_room_back() {
+    fn shrinks_after_most_rows_are_removed() {
         let mut table = Table::default();
         for n in 0..100_000 {
             table.insert(n, n);
--- a/crates/linenhall/src/keys.rs
+++ b/crates/linenhall/src/keys.rs
@@ -1,89 +1,96 @@
-//! Keys of classes in order: who is next in the line of each, and until when a key rests.
+//! Order keys of classes that keep an order: which message of a key is next, and until when a key is paused.
 
 use crate::fleet::Name;
-use crate::index::agenda::Agenda;
+use crate::index::ordered_index::OrderedIndex;
 use crate::index::table::Table;
-use crate::index::At;
+use crate::index::OrderedF64;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// The messages of one key.
 #[derive(Clone, Debug, Default)]
-struct Key {
-    /// In the order of arrival: place and id.
-    line: BTreeSet<(u64, u64)>,
-    rest: f64,
-    last: u64,
+struct KeyQueue {
+    /// Place in the order of arrival and id of each unfinished message.
+    queue: BTreeSet<(u64, u64)>,
+    /// No other message of the key is sent before this time.
+    paused_until: f64,
+    /// The message whose attempt may still be running; the pause does not apply to it.
+    paused_by: u64,
 }
 
-/// The lines of all keys. A key that nothing waits for is forgotten when its rest is over.
+/// The queues of all keys. A key without messages is forgotten when its pause ends.
 #[derive(Clone, Debug, Default)]
-pub struct Keys {
-    keys: Table<Name, Key>,
-    rests: Agenda<At, Name>,
-    /// Given up, and their ends have not reached their senders: key, place, and whether nothing of them is out any more.
-    /// As many as there are ends without a confirmation.
-    untold: BTreeMap<u64, (Name, u64, bool)>,
+pub struct OrderKeys {
+    keys: Table<Name, KeyQueue>,
+    /// Keys without messages, by the end of their pause.
+    pause_ends: OrderedIndex<OrderedF64, Name>,
+    /// Messages that were given up and whose senders have not received the answer: key, place, and whether
+    /// nothing of them is in flight any more. There are as many as answers without a confirmation.
+    unconfirmed: BTreeMap<u64, (Name, u64, bool)>,
 }
 
-impl Keys {
-    /// A request joins the line of its key, if it has one.
-    pub fn queue(&mut self, key: &Option<Name>, seq: u64, id: u64) {
+impl OrderKeys {
+    /// Adds a message to the queue of its key, if it has one.
+    pub fn enqueue(&mut self, key: &Option<Name>, seq: u64, id: u64) {
         if let Some(key) = key {
-            self.keys.or_insert_with(key.clone(), Key::default).line.insert((seq, id));
+            self.keys.or_insert_with(key.clone(), KeyQueue::default).queue.insert((seq, id));
         }
     }
 
-    /// A request is given up: it keeps its place until [`Keys::told`].
-    pub fn owe(&mut self, key: &Option<Name>, seq: u64, id: u64) {
-        key.iter().for_each(|key| _ = self.untold.insert(id, (key.clone(), seq, false)));
+    /// Records that a message was given up: it keeps its place until [`OrderKeys::confirm`].
+    pub fn await_confirmation(&mut self, key: &Option<Name>, seq: u64, id: u64) {
+        key.iter().for_each(|key| _ = self.unconfirmed.insert(id, (key.clone(), seq, false)));
     }
 
-    /// The end of a request that was given up has reached its sender. Gives the one that is next in its line now.
-    pub fn told(&mut self, id: u64, now: f64) -> Option<u64> {
-        let (key, seq, over) = self.untold.remove(&id)?;
-        if over {
-            self.leave(key, seq, id, now)
+    /// Records that the answer to a message that was given up has reached its sender. Returns the message
+    /// that is next in the queue of its key now.
+    pub fn confirm(&mut self, id: u64, now: f64) -> Option<u64> {
+        let (key, seq, finished) = self.unconfirmed.remove(&id)?;
+        if finished {
+            self.remove(key, seq, id, now)
         } else {
             None
         }
     }
 
-    /// A request is over. Gives the one that is next in its line now.
-    pub fn leave(&mut self, key: Name, seq: u64, id: u64, now: f64) -> Option<u64> {
-        if let Some(untold) = self.untold.get_mut(&id) {
-            untold.2 = true;
+    /// Removes a finished message. Returns the message that is next in the queue of its key now.
+    pub fn remove(&mut self, key: Name, seq: u64, id: u64, now: f64) -> Option<u64> {
+        if let Some(unconfirmed) = self.unconfirmed.get_mut(&id) {
+            unconfirmed.2 = true;
             return None;
         }
-        let k = self.keys.get_mut(&key)?;
-        k.line.remove(&(seq, id));
-        let next = k.line.first().map(|x| x.1);
-        if next.is_none() && k.rest > now {
-            self.rests.set(key, At::new(k.rest));
+        let entry = self.keys.get_mut(&key)?;
+        entry.queue.remove(&(seq, id));
+        let next = entry.queue.first().map(|x| x.1);
+        if next.is_none() && entry.paused_until > now {
+            self.pause_ends.set(key, OrderedF64::new(entry.paused_until));
         } else if next.is_none() {
             self.keys.remove(&key);
         }
         next
     }
 
-    /// An attempt of a request may run until then: others of its key rest. Gives the next in line.
-    pub fn rest(&mut self, key: &Name, id: u64, until: f64) -> Option<u64> {
-        let k = self.keys.get_mut(key)?;
-        (k.rest, k.last) = (until, id);
-        k.line.first().map(|x| x.1)
+    /// Pauses a key for all messages but this one, whose attempt may run until then. Returns the next message
+    /// in the queue.
+    pub fn pause(&mut self, key: &Name, id: u64, until: f64) -> Option<u64> {
+        let entry = self.keys.get_mut(key)?;
+        (entry.paused_until, entry.paused_by) = (until, id);
+        entry.queue.first().map(|x| x.1)
     }
 
-    /// From when on a request's key lets it go; [`f64::MAX`]: not before one that is ahead of it is over.
-    pub fn free_at(&self, key: &Name, seq: u64, id: u64) -> f64 {
+    /// Returns from when on a message's key lets it be sent; [`f64::MAX`]: not before an earlier message is
+    /// finished.
+    pub fn sendable_at(&self, key: &Name, seq: u64, id: u64) -> f64 {
         match self.keys.get(key) {
-            Some(k) if k.line.first() != Some(&(seq, id)) => f64::MAX,
-            Some(k) if k.last != id => k.rest,
+            Some(entry) if entry.queue.first() != Some(&(seq, id)) => f64::MAX,
+            Some(entry) if entry.paused_by != id => entry.paused_until,
             _ => 0.0,
         }
     }
 
-    /// Forgets keys whose rest is over and that nothing waits for.
-    pub fn forget(&mut self, now: f64) {
-        while let Some(key) = self.rests.pop_due(now) {
-            if self.keys.get(&key).is_some_and(|k| k.line.is_empty() && k.rest <= now) {
+    /// Forgets keys whose pause is over and that have no messages.
+    pub fn forget_expired(&mut self, now: f64) {
+        while let Some(key) = self.pause_ends.pop_due(now) {
+            if self.keys.get(&key).is_some_and(|entry| entry.queue.is_empty() && entry.paused_until <= now) {
                 self.keys.remove(&key);
             }
         }
@@ -95,47 +102,57 @@
     use super::*;
 
     #[test]
-    fn one_at_a_time_in_order_and_none_while_the_key_rests() {
-        let (mut keys, key) = (Keys::default(), Name::from("k"));
-        [(1, 10), (2, 20), (3, 30)].into_iter().for_each(|(seq, id)| keys.queue(&Some(key.clone()), seq, id));
-        assert_eq!([keys.free_at(&key, 1, 10), keys.free_at(&key, 2, 20)], [0.0, f64::MAX]);
-        assert_eq!(keys.rest(&key, 10, 500.0), Some(10));
-        assert_eq!(keys.free_at(&key, 1, 10), 0.0, "the one whose attempt it was");
-        assert_eq!(keys.leave(key.clone(), 1, 10, 100.0), Some(20));
-        assert_eq!(keys.free_at(&key, 2, 20), 500.0);
-        assert_eq!(keys.leave(key.clone(), 3, 30, 100.0), Some(20), "from the middle");
+    fn releases_one_message_at_a_time_and_none_while_key_is_paused() {
+        let (mut keys, key) = (OrderKeys::default(), Name::from("k"));
+        [(1, 10), (2, 20), (3, 30)]
+            .into_iter()
+            .for_each(|(seq, id)| keys.enqueue(&Some(key.clone()), seq, id));
+        assert_eq!([keys.sendable_at(&key, 1, 10), keys.sendable_at(&key, 2, 20)], [0.0, f64::MAX]);
+        assert_eq!(keys.pause(&key, 10, 500.0), Some(10));
+        assert_eq!(
+            keys.sendable_at(&key, 1, 10),
+            0.0,
+            "the message whose attempt caused the pause is not paused"
+        );
+        assert_eq!(keys.remove(key.clone(), 1, 10, 100.0), Some(20));
+        assert_eq!(keys.sendable_at(&key, 2, 20), 500.0);
+        assert_eq!(
+            keys.remove(key.clone(), 3, 30, 100.0),
+            Some(20),
+            "removing a message from the middle keeps the head"
+        );
     }
 
     #[test]
-    fn what_is_given_up_keeps_its_place_until_its_sender_has_heard() {
-        let (mut keys, name) = (Keys::default(), Name::from("k"));
+    fn given_up_message_blocks_its_key_until_confirmed() {
+        let (mut keys, name) = (OrderKeys::default(), Name::from("k"));
         let key = Some(name.clone());
-        [(1, 10), (2, 20), (3, 30)].into_iter().for_each(|(seq, id)| keys.queue(&key, seq, id));
-        keys.owe(&key, 1, 10);
-        assert_eq!(keys.leave(name.clone(), 1, 10, 0.0), None);
-        assert_eq!(keys.free_at(&name, 2, 20), f64::MAX, "its end is owed yet");
-        assert_eq!(keys.told(10, 5.0), Some(20));
-        assert_eq!(keys.free_at(&name, 2, 20), 0.0);
-        // Its sender hears while a call of it is out yet: then that is waited for.
-        keys.owe(&key, 2, 20);
-        assert_eq!(keys.told(20, 6.0), None);
-        assert_eq!(keys.free_at(&name, 3, 30), f64::MAX, "a call is out yet");
-        assert_eq!(keys.leave(name.clone(), 2, 20, 7.0), Some(30));
-        assert_eq!(keys.told(20, 8.0), None, "told twice");
-        assert_eq!((keys.leave(name, 3, 30, 9.0), keys.keys.len(), keys.untold.len()), (None, 0, 0));
+        [(1, 10), (2, 20), (3, 30)].into_iter().for_each(|(seq, id)| keys.enqueue(&key, seq, id));
+        keys.await_confirmation(&key, 1, 10);
+        assert_eq!(keys.remove(name.clone(), 1, 10, 0.0), None);
+        assert_eq!(keys.sendable_at(&name, 2, 20), f64::MAX, "its final answer is not confirmed yet");
+        assert_eq!(keys.confirm(10, 5.0), Some(20));
+        assert_eq!(keys.sendable_at(&name, 2, 20), 0.0);
+        // The confirmation arrives while a call is in flight: the end of that call is awaited as well.
+        keys.await_confirmation(&key, 2, 20);
+        assert_eq!(keys.confirm(20, 6.0), None);
+        assert_eq!(keys.sendable_at(&name, 3, 30), f64::MAX, "a call is still in flight");
+        assert_eq!(keys.remove(name.clone(), 2, 20, 7.0), Some(30));
+        assert_eq!(keys.confirm(20, 8.0), None, "confirmed twice");
+        assert_eq!((keys.remove(name, 3, 30, 9.0), keys.keys.len(), keys.unconfirmed.len()), (None, 0, 0));
     }
 
     #[test]
-    fn a_key_is_remembered_for_its_rest_and_no_longer() {
-        let (mut keys, key) = (Keys::default(), Name::from("k"));
-        keys.queue(&Some(key.clone()), 1, 10);
-        keys.rest(&key, 10, 500.0);
-        assert_eq!(keys.leave(key.clone(), 1, 10, 100.0), None);
-        keys.forget(499.0);
-        keys.queue(&Some(key.clone()), 2, 20);
-        assert_eq!(keys.free_at(&key, 2, 20), 500.0, "a rest binds what comes after it");
-        assert_eq!(keys.leave(key.clone(), 2, 20, 499.5), None);
-        keys.forget(500.0);
+    fn forgets_key_when_its_pause_ends() {
+        let (mut keys, key) = (OrderKeys::default(), Name::from("k"));
+        keys.enqueue(&Some(key.clone()), 1, 10);
+        keys.pause(&key, 10, 500.0);
+        assert_eq!(keys.remove(key.clone(), 1, 10, 100.0), None);
+        keys.forget_expired(499.0);
+        keys.enqueue(&Some(key.clone()), 2, 20);
+        assert_eq!(keys.sendable_at(&key, 2, 20), 500.0, "a pause holds for messages that arrive later");
+        assert_eq!(keys.remove(key.clone(), 2, 20, 499.5), None);
+        keys.forget_expired(500.0);
         assert_eq!(keys.keys.len(), 0);
     }
 }
--- a/crates/linenhall/src/limits.rs
+++ b/crates/linenhall/src/limits.rs
@@ -1,86 +1,107 @@
-//! Limits and paces: the bucket of a lane, and the law by which each of many relays keeps to its part of a
-//! limit that all share. Rates in calls a second, times in milliseconds. What was compared: docs/fleet.md.
+//! Rate limits: the token bucket of an endpoint group, and the rules by which each of many relays keeps to
+//! its share of a limit that all of them share. Rates are in calls a second, times in milliseconds.
+//! docs/fleet.md compares alternatives.
 
 use crate::fleet::EndpointGroup;
 
-/// What the bucket holds, at the pace: those of all relays fit a short queue.
+/// Capacity of the bucket, as the time in which the rate limit fills it; the bursts of all relays together
+/// fit a short queue.
 const BURST_MS: f64 = 300.0;
-/// Of the even part of a told limit: the least pace, the first, the most.
-const SHARE: (f64, f64, f64) = (0.9, 1.0, 2.0);
-/// For a delivery, in even parts, with much left of the limit; of the pace, with little.
-const RISE: (f64, f64) = (0.15, 0.9);
-/// Of the limit that is left: much, little.
-const LEFT: (f64, f64) = (0.7, 0.15);
-/// How long it is remembered how often this lane had something held.
-const BUSY_MS: f64 = 4000.0;
-/// After a refusal nothing goes out for a time between these; so many times it from the second in a row on.
-const QUIET_MS: (f64, f64, f64) = (100.0, 500.0, 1.5);
-/// Refusals within this time cut the pace once.
-pub(crate) const CUT_MS: f64 = 500.0;
+/// The rate limit where many relays share a reported limit, in even shares of it: least, initial and greatest
+/// value.
+const RATE_RANGE_IN_SHARES: (f64, f64, f64) = (0.9, 1.0, 2.0);
+/// Change of the rate limit at a delivery: with much of the limit remaining, the increase in even shares;
+/// with little remaining, the factor on the rate limit.
+const RATE_STEP_FACTORS: (f64, f64) = (0.15, 0.9);
+/// The remaining share of the limit above which much remains, and below which little remains.
+const REMAINING_SHARE_BOUNDS: (f64, f64) = (0.7, 0.15);
+/// Time constant of the mean that says how often this group has messages queued.
+const QUEUED_SHARE_WINDOW_MS: f64 = 4000.0;
+/// After a refusal nothing goes out for a time between the first two values, multiplied by the third from the
+/// second consecutive refusal on.
+const REFUSAL_BACKOFF_MS: (f64, f64, f64) = (100.0, 500.0, 1.5);
+/// All refusals within this time reduce the rate limit only once.
+pub(crate) const RATE_CUT_INTERVAL_MS: f64 = 500.0;
 
 impl EndpointGroup {
+    /// Adds the tokens for the time since the last refill.
     pub(crate) fn refill(&mut self, now: f64) {
-        // With no pace set the bucket stays full: sends must not run up a debt that a later pace would pay.
-        self.tokens = self.pace.map_or(1.0, |pace| {
-            // Among many a full bucket holds one call: what all hold together comes at once in a rush.
-            let most = (if self.crowd { 0.0 } else { pace * BURST_MS / 1000.0 }).max(1.0);
-            (self.tokens + pace * (now - self.filled).max(0.0) / 1000.0).min(most)
+        // Without a rate limit the bucket stays full: sends must not run up a debt that a later rate limit
+        // would have to pay.
+        self.tokens = self.rate_limit.map_or(1.0, |rate_limit| {
+            // With many relays a full bucket holds one call, since the bursts of all relays come at the same
+            // time in a rush.
+            let max_tokens =
+                (if self.shared_by_many { 0.0 } else { rate_limit * BURST_MS / 1000.0 }).max(1.0);
+            (self.tokens + rate_limit * (now - self.refilled_at).max(0.0) / 1000.0).min(max_tokens)
         });
-        self.filled = self.filled.max(now);
+        self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// When the bucket has a call in it.
-    pub(crate) fn ready(&self, now: f64) -> f64 {
-        let Some(pace) = self.pace else { return now };
-        let have = self.tokens + pace * (now - self.filled).max(0.0) / 1000.0;
-        let need = (1.0 - have) / pace.max(1e-6) * 1000.0;
-        if need > 0.0 {
-            now.max(self.filled) + need
+    /// Returns when the bucket holds a token for a call.
+    pub(crate) fn token_ready_at(&self, now: f64) -> f64 {
+        let Some(rate_limit) = self.rate_limit else { return now };
+        let tokens = self.tokens + rate_limit * (now - self.refilled_at).max(0.0) / 1000.0;
+        let wait_ms = (1.0 - tokens) / rate_limit.max(1e-6) * 1000.0;
+        if wait_ms > 0.0 {
+            now.max(self.refilled_at) + wait_ms
         } else {
             now
         }
     }
 
-    /// Among many relays: a limit was told, of which this is the even part; `had` was that of the one before.
-    /// The pace keeps its relation to it.
-    pub(crate) fn share_told(&mut self, had: Option<f64>, part: f64) {
-        let relation = self.pace.zip(had).map_or(SHARE.1, |(pace, had)| pace / had);
-        (self.pace, self.crowd) = (Some(relation * part), true);
+    /// Many relays: a limit was reported, and `even_share` is this relay's share of it; `previous` is the
+    /// share of the limit reported before. The rate limit keeps its ratio to the share.
+    pub(crate) fn rescale_rate_limit(&mut self, previous: Option<f64>, even_share: f64) {
+        let ratio = self
+            .rate_limit
+            .zip(previous)
+            .map_or(RATE_RANGE_IN_SHARES.1, |(rate_limit, previous)| rate_limit / previous);
+        (self.rate_limit, self.shared_by_many) = (Some(ratio * even_share), true);
     }
 
-    /// Among many relays: a call was delivered. With much of the limit left the pace rises above the even
-    /// part, but only as far as this relay seldom has anything held: all get their messages alike, so the
-    /// share of its time stands for the share of the relays that ask for more just now. Without that, all
-    /// rise together while all have a backlog, and are refused together. One relay that alone has much to
-    /// send gets less than it could.
-    pub(crate) fn share_delivered(&mut self, now: f64, part: f64, held: bool) {
-        let weight = 1.0 - (-(now - self.heard_at).max(0.0) / BUSY_MS).exp();
-        self.busy += (f64::from(u8::from(held)) - self.busy) * weight;
-        self.heard_at = now;
-        let most = part * (1.0 / self.busy.max(0.01)).clamp(SHARE.1, SHARE.2);
-        self.pace = self.pace.map(|pace| match self.left {
-            _ if pace > most => most,
-            left if left > LEFT.0 => (pace + RISE.0 * part).min(most),
-            left if left < LEFT.1 => (pace * RISE.1).max(SHARE.0 * part),
-            _ => pace,
+    /// Many relays: a call was delivered. With much of the limit remaining the rate limit rises above the
+    /// even share, but only as far as this relay seldom has messages queued. All relays get similar traffic,
+    /// so the share of time in which this relay has a queue stands for the share of relays that need more at
+    /// the moment. Without this bound all relays rise together while all have a backlog, and are refused
+    /// together. The cost: one relay that alone has much to send gets less than it could.
+    pub(crate) fn adjust_rate_limit(&mut self, now: f64, even_share: f64, has_queued: bool) {
+        let weight = 1.0 - (-(now - self.queued_share_at).max(0.0) / QUEUED_SHARE_WINDOW_MS).exp();
+        self.queued_share += (f64::from(u8::from(has_queued)) - self.queued_share) * weight;
+        self.queued_share_at = now;
+        let max_rate = even_share
+            * (1.0 / self.queued_share.max(0.01)).clamp(RATE_RANGE_IN_SHARES.1, RATE_RANGE_IN_SHARES.2);
+        self.rate_limit = self.rate_limit.map(|rate_limit| match self.remaining_share {
+            _ if rate_limit > max_rate => max_rate,
+            remaining if remaining > REMAINING_SHARE_BOUNDS.0 => {
+                (rate_limit + RATE_STEP_FACTORS.0 * even_share).min(max_rate)
+            }
+            remaining if remaining < REMAINING_SHARE_BOUNDS.1 => {
+                (rate_limit * RATE_STEP_FACTORS.1).max(RATE_RANGE_IN_SHARES.0 * even_share)
+            }
+            _ => rate_limit,
         });
     }
 
-    /// Among many relays: a call was refused. Others were at the same moment, and a told wait ends for all of
-    /// them at the same: so each comes back at a time of its own, spread over what its part of the limit
-    /// takes for a call. `random` and `more` lie in 0 to 1.
-    pub(crate) fn share_refused(&mut self, now: f64, part: f64, random: f64, more: [f64; 2]) {
-        let had = self.pace.unwrap_or(part) * if now - self.cut_at > CUT_MS { 0.5 } else { 1.0 };
-        let pace = had.clamp(SHARE.0 * part, SHARE.1 * part);
-        let quiet = QUIET_MS.0 + (QUIET_MS.1 - QUIET_MS.0) * random;
-        let quiet = quiet * if self.fulls > 1 { QUIET_MS.2 } else { 1.0 };
+    /// Many relays: a call was refused. Other relays were refused at the same moment, and a Retry-After ends
+    /// for all of them at the same time. So each relay resumes at a time of its own, spread over the time
+    /// that one call takes at its share of the limit. `random` and `random_tokens` lie between 0 and 1.
+    pub(crate) fn cut_rate_limit(&mut self, now: f64, even_share: f64, random: f64, random_tokens: [f64; 2]) {
+        let previous = self.rate_limit.unwrap_or(even_share)
+            * if now - self.rate_cut_at > RATE_CUT_INTERVAL_MS { 0.5 } else { 1.0 };
+        let rate_limit =
+            previous.clamp(RATE_RANGE_IN_SHARES.0 * even_share, RATE_RANGE_IN_SHARES.1 * even_share);
+        let backoff_ms = REFUSAL_BACKOFF_MS.0 + (REFUSAL_BACKOFF_MS.1 - REFUSAL_BACKOFF_MS.0) * random;
+        let backoff_ms = backoff_ms * if self.consecutive_refusals > 1 { REFUSAL_BACKOFF_MS.2 } else { 1.0 };
         self.refill(now);
-        let had = self.tokens;
-        let told = self.wait_until > now;
-        self.tokens = if told { more[0] } else { had.min(0.0) - more[1] };
-        (self.pace, self.cut_at) = (Some(pace), now);
-        self.quiet_until = self.wait_until.max(now) + quiet;
-        self.filled = self.filled.max(self.wait_until);
-        self.emptied_until = self.filled + (had - self.tokens).max(0.0) / pace.max(1e-6) * 1000.0;
+        let previous_tokens = self.tokens;
+        let retry_after_received = self.retry_after_until > now;
+        self.tokens =
+            if retry_after_received { random_tokens[0] } else { previous_tokens.min(0.0) - random_tokens[1] };
+        (self.rate_limit, self.rate_cut_at) = (Some(rate_limit), now);
+        self.backoff_until = self.retry_after_until.max(now) + backoff_ms;
+        self.refilled_at = self.refilled_at.max(self.retry_after_until);
+        self.bucket_emptied_until =
+            self.refilled_at + (previous_tokens - self.tokens).max(0.0) / rate_limit.max(1e-6) * 1000.0;
     }
 }
--- a/crates/linenhall/src/logic.rs
+++ b/crates/linenhall/src/logic.rs
@@ -1,1223 +1,1628 @@
-//! Interface: src/interface.rs. All decisions of linenhall; why each is as it is: docs/design.md.
+//! Interface: src/interface.rs. All decisions of the crate `linenhall`; docs/design.md gives the reasons for
+//! them.
 //!
-//! Parts, in this order: worth, endpoints and lanes (health, pacing, return), attempts and outcomes, the
-//! hold, discovery, release (Most Credit First), ends of time. A lane is what shares one limit and health:
-//! a whole destination, or one endpoint where the endpoints are routes apart.
+//! Sections, in this order: value, endpoints and endpoint groups (health, rate limits, recovery), attempts
+//! and outcomes, the queues, discovery, sending (Most Credit First), expiry. An endpoint group is what shares
+//! one limit and one health: a whole destination, or one endpoint where each endpoint has its own limit.
 //!
-//! No event walks over what is held, out or listed: what changes marks its lane and destination, these are
-//! looked at again before the round ends, and what time alone changes stands in an [`Agenda`].
+//! No event iterates over everything that is queued, in flight or listed. A change marks its group and
+//! destination dirty, and these are examined again before the round ends. What changes with time alone is
+//! kept in an [`OrderedIndex`].
 
 use crate::fleet::{
     BreakerState, Destination, EndpointGroup, EndpointGroupId, Fleet, Host, Name, SubQueueKey,
 };
-use crate::index::agenda::Agenda;
-use crate::index::credits::{turns, Credits};
-use crate::index::group_calls::Kind;
+use crate::index::credits::{credit_units, Credits};
+use crate::index::group_calls::CallKind;
+use crate::index::ordered_index::OrderedIndex;
 use crate::index::sub_queue::QueuedMessage;
 use crate::index::table::Table;
-use crate::index::{spread, step, At};
+use crate::index::{salted_hash, step, OrderedF64};
 use crate::interface::*;
-use crate::keys::Keys;
-use crate::limits::CUT_MS;
+use crate::keys::OrderKeys;
+use crate::limits::RATE_CUT_INTERVAL_MS;
 use crate::state::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-const CREDIT_CAP: f64 = 8.0; // of the credit of a queue, either way
-const SICK_DEVS: f64 = 4.0; // a call this many deviations over its mean outruns its latency (RFC 6298)
-const OUT_FAILS: u32 = 5; // failures in a row, time-outs twice, on every endpoint, that shut a lane
-const OUT_SHARE: f64 = 0.7; // or this share of failures of late
-const GOODS: (u32, u32) = (2, 3); // trials delivered in a row that prove a return; if it answered errors
-const SHUT_FULLS: u32 = 5; // refusals in a row, over SHUT_MS, that mean shut and not just over the limit
-const SHUT_MS: f64 = 2000.0;
-const TRIAL_MS: (f64, f64, f64, f64) = (500.0, 2000.0, 4000.0, 30000.0); // between trials: dense; sparse
-const TRIAL_CROWD_MS: f64 = 1000.0; // in place of the least time for sparse ones, in a crowd
-const RAMP_MS: f64 = 25.0; // between looks at a ramping lane with something held
-const CROWD: f64 = 8.0; // from so many relays on a relay's own calls are few of all
-const CUT: (f64, f64) = (0.85, 0.15); // of the pace, at a refusal; when sparse
-const GAIN: (f64, f64) = (0.03, 0.3); // of the pace, for each delivery; when sparse
-const GROW: f64 = 1.25; // a pace grows up to this multiple of what was delivered of late
-const SPARE: f64 = 0.85; // left of the limit, with which a refusal is the endpoint's own
-const SHUN_MS: f64 = 3000.0; // in the mean, of an endpoint that refuses while much of the limit is left
-const SOON_MS: f64 = 2000.0; // the short memory for rates
-const LONG_MS: f64 = 15000.0; // the long one
-const KEEP_MS: f64 = 300.0; // an idle connection is kept if the next call on it is expected this soon
-const HURT_MS: f64 = 60000.0; // or if no connection of its kind was refused or broke for so long
-const LOSS_STEPS: f64 = 4294967296.0; // in a unit of worth
-const URGENT: f64 = 1e15; // over any loss of worth: what a restart finds untried goes first, by its end
-const ASK_MS: (f64, f64) = (500.0, 8000.0); // between failed calls for the list
-const OVERDUE: usize = 16; // calls beyond their time that are looked at, the longest first
-const LOST: f64 = 2.0; // of the time after which a call outruns its latency: so long it may just be slow
-const TIES: usize = 3; // looks among equal credits for whose message is the oldest
-const ENDS: (usize, f64) = (512, 4.0); // messages that end in one round at most; time for such a round
-const LEAST_TIMER: f64 = 0.01; // ms
-const WAY: f64 = 0.05; // of a window, left for a repeat's way: a new connection's first request is slower
-const LEAST: (usize, usize) = (16, 4); // holds weighed anew when one must go: the least, the longest ago
+/// Bound of a queue's scheduling credit in either direction, in turns.
+const CREDIT_CAP_TURNS: f64 = 8.0;
+/// A call overruns its expected latency when it takes longer than the mean by this many mean deviations
+/// (compare RFC 6298).
+const OVERRUN_DEVIATIONS: f64 = 4.0;
+/// The breaker of an endpoint group opens after this many consecutive failures, if every endpoint of the
+/// destination has failed. A time-out counts twice.
+const OPEN_FAILURE_COUNT: u32 = 5;
+/// The breaker also opens when the decayed share of failures exceeds this.
+const OPEN_FAILURE_SHARE: f64 = 0.7;
+/// Consecutive successful trials that end the open state of a group that failed often: of a group that gave
+/// no answers, and of one that answered with errors.
+const CLOSE_SUCCESS_COUNTS: (u32, u32) = (2, 3);
+/// This many consecutive refusals over more than [`OPEN_REFUSAL_SPAN_MS`] mean that the group refuses
+/// everything, and not only that its limit is exceeded.
+const OPEN_REFUSAL_COUNT: u32 = 5;
+/// See [`OPEN_REFUSAL_COUNT`].
+const OPEN_REFUSAL_SPAN_MS: f64 = 2000.0;
+/// Bounds of the time between half-open trials: lower and upper bound where this relay calls the group often,
+/// then lower and upper bound where it calls the group seldom.
+const TRIAL_INTERVAL_MS: (f64, f64, f64, f64) = (500.0, 2000.0, 4000.0, 30000.0);
+/// With many relays, replaces the second value of [`TRIAL_INTERVAL_MS`] as least upper bound.
+const MANY_RELAYS_TRIAL_INTERVAL_MS: f64 = 1000.0;
+/// Time between two checks of a group in slow start that has messages queued.
+const SLOW_START_RECHECK_MS: f64 = 25.0;
+/// From this number of relays on, one relay makes only a small part of all calls to a group.
+const MANY_RELAYS: f64 = 8.0;
+/// Factors on the rate limit after a refusal: at a normal rate, and where this relay calls seldom.
+const RATE_CUT_FACTORS: (f64, f64) = (0.85, 0.15);
+/// Growth of the rate limit for each delivery, as a part of it: at a normal rate, and where this relay calls
+/// seldom.
+const RATE_GAINS: (f64, f64) = (0.03, 0.3);
+/// The rate limit grows up to this multiple of the recent delivery rate.
+const MAX_RATE_PER_DELIVERED: f64 = 1.25;
+/// A refusal with more than this share of the limit remaining is due to the endpoint and not to the shared
+/// limit.
+const OWN_REFUSAL_REMAINING_SHARE: f64 = 0.85;
+/// Mean time for which an endpoint is avoided that refuses while much of the limit remains.
+const MEAN_AVOIDANCE_MS: f64 = 3000.0;
+/// Time constant of the meters for recent rates.
+const SHORT_RATE_WINDOW_MS: f64 = 2000.0;
+/// Time constant of the meters for usual rates.
+const LONG_RATE_WINDOW_MS: f64 = 15000.0;
+/// After connection failures, an idle connection is kept only if the next call on it is expected within this
+/// time.
+const KEEP_IDLE_CONNECTION_MS: f64 = 300.0;
+/// Idle connections are kept regardless if no connection to this kind of destination was refused or broke for
+/// this long.
+const CONNECTION_FAILURE_MEMORY_MS: f64 = 60000.0;
+/// Steps per unit of value to which an expected loss is rounded.
+const LOSS_STEPS_PER_VALUE: f64 = 4294967296.0;
+/// Loss assigned to messages that a restart found untried; larger than any real loss of value. Less their due
+/// time, so that they go first, in the order of their due times.
+const UNTRIED_LOSS: f64 = 1e15;
+/// Shortest and longest time between failed requests for the list.
+const DISCOVERY_RETRY_MS: (f64, f64) = (500.0, 8000.0);
+/// Maximum number of overdue calls looked at, the longest overdue first.
+const MAX_OVERDUE_SCAN: usize = 16;
+/// A call counts as lost only after this multiple of the time after which it overruns its expected latency;
+/// until then it may just be slow.
+const LOST_CALL_OVERRUNS: f64 = 2.0;
+/// How often a send looks again for the oldest message among destinations of equal credit.
+const MAX_TIE_CHECKS: usize = 3;
+/// Maximum number of messages that expire in one round, and the time in milliseconds that such a round takes.
+const EXPIRY_ROUND: (usize, f64) = (512, 4.0);
+/// Shortest timer.
+const MIN_TIMER_MS: f64 = 0.01;
+/// Share of a deduplication window reserved for the way of a repeat to its host: the first request of a new
+/// connection is slower.
+const RETRY_TRANSIT_SHARE: f64 = 0.05;
+/// Queues whose value rate is recomputed when a message has to be refused: the number with the lowest
+/// rates, and the number computed longest ago.
+const REEVALUATED_QUEUES: (usize, usize) = (16, 4);
 
 impl EndpointGroup {
     fn new(now: f64) -> Self {
-        let (soon, usual) = (Meter::new(SOON_MS), Meter::new(LONG_MS));
+        let (short_rate, long_rate) = (Meter::new(SHORT_RATE_WINDOW_MS), Meter::new(LONG_RATE_WINDOW_MS));
         EndpointGroup {
             tokens: 1.0,
-            filled: now,
-            backoff: TRIAL_MS.0,
-            soon,
-            usual,
+            refilled_at: now,
+            trial_interval_ms: TRIAL_INTERVAL_MS.0,
+            short_rate,
+            long_rate,
             ..EndpointGroup::default()
         }
     }
-    /// The time after which a call outruns this lane's measured latency.
-    fn overrun(&self, aim: f64) -> f64 {
-        self.latency.map_or(aim, |(mean, dev)| mean + (SICK_DEVS * dev).max(mean))
+    /// Returns the time after which a call overruns the group's measured latency.
+    fn overrun_ms(&self, aim_ms: f64) -> f64 {
+        self.latency.map_or(aim_ms, |(mean, deviation)| mean + (OVERRUN_DEVIATIONS * deviation).max(mean))
     }
 }
 
-/// Time-outs: generous, as the work runs on; none for what could not be tried again.
-fn time_out(now: f64, l: &EndpointGroup, c: &Class, due: f64) -> Option<f64> {
-    let base = l.overrun(c.aim_ms);
-    let trial = l.phase == BreakerState::Open;
-    let cap = if trial { base.max(c.aim_ms / 2.0) } else { (3.0 * base).max(c.aim_ms).min(2.0 * c.aim_ms) };
-    let cap = cap * f64::from(1u32 << l.fails.min(2));
-    (c.effect != Effect::Unsafe && now + cap < due).then_some(cap)
+/// Returns the time-out of an attempt. Time-outs are generous, since the partner goes on working after them;
+/// there is none where the message could not be tried again.
+fn attempt_timeout(now: f64, group: &EndpointGroup, class: &Class, due: f64) -> Option<f64> {
+    let base_ms = group.overrun_ms(class.aim_ms);
+    let trial = group.breaker == BreakerState::Open;
+    let timeout_ms = if trial {
+        base_ms.max(class.aim_ms / 2.0)
+    } else {
+        (3.0 * base_ms).max(class.aim_ms).min(2.0 * class.aim_ms)
+    };
+    let timeout_ms = timeout_ms * f64::from(1u32 << group.consecutive_failures.min(2));
+    (class.effect != Effect::Unsafe && now + timeout_ms < due).then_some(timeout_ms)
 }
 
 /// The decisions of one relay.
 #[derive(Debug, Default)]
 pub struct Relay {
-    pub(crate) s: Settings,
+    pub(crate) settings: Settings,
     rng: fastrand::Rng,
+    /// Salt of the order in which this relay prefers endpoints of equal cost.
     salt: u64,
+    /// Time of the current round.
     pub(crate) now: f64,
+    /// Last sequence number given out; messages, calls and computed value rates share the numbers.
     pub(crate) seq: u64,
-    pub(crate) msgs: Table<u64, Msg>,
-    /// Destinations, endpoints and lanes.
-    pub(crate) f: Fleet,
+    /// All unfinished messages, by id.
+    pub(crate) messages: Table<u64, Message>,
+    /// Destinations, endpoints and endpoint groups.
+    pub(crate) fleet: Fleet,
+    /// Calls in flight, by number.
     pub(crate) calls: Table<u64, Call>,
-    pub(crate) keys: Keys,
-    /// Marked since they were last looked at.
-    pub(crate) touched: (BTreeSet<EndpointGroupId>, BTreeSet<u64>),
-    /// Destinations with something held, and the sum of their mean times.
+    /// Order keys.
+    pub(crate) keys: OrderKeys,
+    /// Groups and destinations that changed since their index entries were last updated.
+    pub(crate) dirty: (BTreeSet<EndpointGroupId>, BTreeSet<u64>),
+    /// Number of destinations with queued messages, and the sum of their mean slot times in microseconds.
     pub(crate) backlogged: (usize, u64),
+    /// Scheduling credits of the destinations that may send.
     pub(crate) credits: Credits,
-    /// Destinations that would send a probe next, and where.
-    pub(crate) probing: BTreeMap<u64, Name>,
-    /// What the destination that was looked at last would send, and when that was.
-    pub(crate) looked: Option<(u64, Look)>,
-    /// By time: the ends of held requests, what holds single ones back, destinations that may send from then
-    /// on, lanes whose calls will have outrun their latency, and those one of whose calls, the one named,
-    /// will have outrun all patience.
-    pub(crate) ends: Agenda<At, u64>,
-    pub(crate) resting: Agenda<At, u64>,
-    pub(crate) wakes: Agenda<At, u64>,
-    pub(crate) late: Agenda<At, EndpointGroupId>,
-    pub(crate) overdue: Agenda<(At, u64), EndpointGroupId>,
-    pub(crate) called_off: usize,
-    /// What a destination's hold earns least by, and when that was reckoned; kept while half full.
-    pub(crate) earns: Agenda<At, u64>,
-    pub(crate) earned: Agenda<u64, u64>,
-    pub(crate) weighing: bool,
-    pub(crate) unweighed: BTreeSet<u64>,
-    tenants_total: f64,
-    pub(crate) tenants: Vec<Meter>,
-    pub(crate) all: Meter,
-    /// Calls begun in this reply to endpoints that take batches: what may still join.
-    open: BTreeMap<Name, (u64, usize)>,
+    /// Destinations whose next action is a probe, and the endpoint to probe.
+    pub(crate) pending_probes: BTreeMap<u64, Name>,
+    /// The destination looked at last and its next action, as long as nothing has changed there.
+    pub(crate) cached_action: Option<(u64, NextAction)>,
+    /// Queued messages by the time at which they expire.
+    pub(crate) expiries: OrderedIndex<OrderedF64, u64>,
+    /// Queued messages that their own state blocks (a pause after a failure, a paused key), by the time at
+    /// which they become sendable.
+    pub(crate) blocked: OrderedIndex<OrderedF64, u64>,
+    /// Destinations that may send from a later time on.
+    pub(crate) wake_times: OrderedIndex<OrderedF64, u64>,
+    /// Groups by the time at which their calls overrun the expected latency, see [`Relay::open_on_overruns`].
+    pub(crate) overrun_checks: OrderedIndex<OrderedF64, EndpointGroupId>,
+    /// Groups by the time at which one of their calls, the one named, may be cancelled.
+    pub(crate) overdue_calls: OrderedIndex<(OrderedF64, u64), EndpointGroupId>,
+    /// Number of calls in flight that have been cancelled.
+    pub(crate) cancelled_calls: usize,
+    /// Destinations by the lowest value per time that a message of their queue brings. Kept only while many
+    /// of the places for messages are taken, see [`Relay::shed_load`].
+    pub(crate) value_rates: OrderedIndex<OrderedF64, u64>,
+    /// Destinations by when their entry in `value_rates` was computed.
+    pub(crate) value_rate_order: OrderedIndex<u64, u64>,
+    /// Whether `value_rates` is kept.
+    pub(crate) tracks_value_rates: bool,
+    /// Destinations whose entry in `value_rates` has to be recomputed.
+    pub(crate) stale_value_rates: BTreeSet<u64>,
+    /// Sum of the rates of all tenants' shares.
+    total_tenant_rate: f64,
+    /// Requests accepted, by tenant.
+    pub(crate) tenant_meters: Vec<Meter>,
+    /// Requests accepted from all tenants.
+    pub(crate) total_meter: Meter,
+    /// Calls started in this round to endpoints that take batches, and how many messages each may still take.
+    open_batches: BTreeMap<Name, (u64, usize)>,
+    /// Whether the list is being watched.
     watching: bool,
-    asked: bool,
-    ask_at: f64,
-    ask_wait: f64,
-    armed: f64,
-    probes: BTreeMap<Name, EndpointGroupId>,
-    /// The process ends then.
+    /// Whether a watch was requested.
+    watch_requested: bool,
+    /// Earliest time of the next request for the list.
+    next_watch_at: f64,
+    /// Time to wait after the next failed request for the list, in milliseconds.
+    watch_retry_ms: f64,
+    /// Time of the earliest timer that is set; `f64::MAX` if none is.
+    armed_timer_at: f64,
+    /// Probes in flight, by endpoint.
+    probes_in_flight: BTreeMap<Name, EndpointGroupId>,
+    /// The time at which this process ends.
     stop_at: Option<f64>,
-    /// By kind of destination: when a connection was last refused or broke.
-    conns_hurt: BTreeMap<usize, f64>,
+    /// Time of the last refused or broken connection, by kind of destination.
+    connection_failures: BTreeMap<usize, f64>,
 }
 
 impl Relay {
-    /// A relay that knows nothing yet but its settings.
+    /// Returns a relay that knows nothing but its settings.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let s = reckonable(settings);
-        let tenants = s.tenant_rates.iter().map(|_| Meter::new(SOON_MS)).collect();
-        let (rng, all) = (fastrand::Rng::with_seed(seed), Meter::new(LONG_MS));
-        let (credits, tenants_total) = (Credits::new(CREDIT_CAP), s.tenant_rates.iter().sum());
-        let relay = Relay { rng, salt: seed, tenants, all, credits, tenants_total, s, ..Relay::default() };
-        Relay { ask_wait: ASK_MS.0, armed: f64::MAX, ..relay }
+        let settings = sanitized(settings);
+        let tenant_meters = settings.tenant_rates.iter().map(|_| Meter::new(SHORT_RATE_WINDOW_MS)).collect();
+        let (rng, total_meter) = (fastrand::Rng::with_seed(seed), Meter::new(LONG_RATE_WINDOW_MS));
+        let (credits, total_tenant_rate) =
+            (Credits::new(CREDIT_CAP_TURNS), settings.tenant_rates.iter().sum());
+        let relay = Relay {
+            rng,
+            salt: seed,
+            tenant_meters,
+            total_meter,
+            credits,
+            total_tenant_rate,
+            settings,
+            ..Relay::default()
+        };
+        Relay { watch_retry_ms: DISCOVERY_RETRY_MS.0, armed_timer_at: f64::MAX, ..relay }
     }
 
-    /// Takes what came in at `now` and appends what is to be done.
-    pub fn handle(&mut self, now: f64, events: &[Event], out: &mut Vec<Action>) {
-        self.now = sane(now, self.now, 1e15);
-        self.open.clear();
-        self.looked = None;
-        events.iter().for_each(|event| self.event(event, out));
-        self.ask(out);
-        self.expire(out);
-        self.wake();
-        self.release(out);
-        self.settle();
-        self.arm(out);
+    /// Processes the events that came in at `now` and appends the actions to take.
+    pub fn handle(&mut self, now: f64, events: &[Event], actions: &mut Vec<Action>) {
+        self.now = clamp_finite(now, self.now, 1e15);
+        self.open_batches.clear();
+        self.cached_action = None;
+        events.iter().for_each(|event| self.handle_event(event, actions));
+        self.request_watch(actions);
+        self.expire_queued(actions);
+        self.process_due_times();
+        self.send_queued(actions);
+        self.refresh_indexes();
+        self.arm_timer(actions);
     }
 
-    fn event(&mut self, event: &Event, out: &mut Vec<Action>) {
+    fn handle_event(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
-            Event::ListUpdate(news) => self.discovery(news, out),
-            Event::Request { .. } => self.take(event, out),
-            Event::Restored { .. } => self.restore(event, out),
+            Event::ListUpdate(update) => self.apply_list_update(update, actions),
+            Event::Request { .. } => self.accept_request(event, actions),
+            Event::Restored { .. } => self.restore_request(event, actions),
             Event::Resumed { id, endpoint, sent } => {
                 let now = self.now;
-                self.now = sane(*sent, 0.0, now);
-                self.send(*id, &Name::from(endpoint.as_str()), &mut Vec::new());
+                self.now = clamp_finite(*sent, 0.0, now);
+                self.start_attempt(*id, &Name::from(endpoint.as_str()), &mut Vec::new());
                 self.now = now;
             }
             Event::AnswerPending { .. } | Event::AnswerExpected { .. } | Event::AnswerConfirmed { .. } => {
-                self.told(event)
+                self.handle_answer_event(event)
             }
-            Event::Outages(known) => known.iter().for_each(|o| self.recall(o)),
+            Event::Outages(known) => known.iter().for_each(|outage| self.restore_outage(outage)),
             Event::RetryAfters(known) => {
-                for (dest, endpoint, until) in known {
-                    let (now, id) = (self.now, (*dest, Name::from(endpoint.as_str())));
-                    self.touch_group(&id);
-                    let l = self.f.group(&id, || EndpointGroup::new(now));
-                    l.wait_until = l.wait_until.max(*until);
+                for (destination_id, endpoint, until) in known {
+                    let (now, id) = (self.now, (*destination_id, Name::from(endpoint.as_str())));
+                    self.mark_group_dirty(&id);
+                    let group = self.fleet.group_or_insert(&id, || EndpointGroup::new(now));
+                    group.retry_after_until = group.retry_after_until.max(*until);
                 }
             }
-            Event::Learnt(told) => self.take_up(told).iter().for_each(|id| self.touch_group(id)),
+            Event::Learnt(learnt) => {
+                self.restore_learnt(learnt).iter().for_each(|id| self.mark_group_dirty(id))
+            }
             Event::Stopping { at } => self.stop_at = Some(*at),
             Event::ResponseStarted { id, .. } => {
-                self.msgs.get_mut(id).into_iter().for_each(|m| m.started = true)
+                self.messages.get_mut(id).into_iter().for_each(|message| message.response_started = true)
+            }
+            Event::Ended { .. } => self.attempt_ended(event, actions),
+            Event::Withdrawn { id } => self.finish(*id, actions),
+            Event::Timer { .. } => self.armed_timer_at = f64::MAX,
+            Event::Probed { endpoint, outcome, report, .. } => {
+                self.probe_ended(endpoint, *outcome, report, actions)
             }
-            Event::Ended { .. } => self.ended(event, out),
-            Event::Withdrawn { id } => self.close(*id, out),
-            Event::Timer { .. } => self.armed = f64::MAX,
-            Event::Probed { endpoint, outcome, report, .. } => self.probed(endpoint, *outcome, report, out),
             Event::PeerMessage { .. } => {}
         }
     }
 
-    // ---- worth
+    // ---- value
 
-    /// What is left of a request's worth if it is delivered at `at`, given [`Relay::in_share`].
-    fn value(&self, c: &Class, m: &QueuedMessage, at: f64, share: f64) -> f64 {
-        let late = at - m.born.get() - c.aim_ms;
-        if at >= m.due.get() {
+    /// Returns the value that a message still has when delivered at `at`. `share` comes from
+    /// [`Relay::share_factor`].
+    fn value(&self, class: &Class, message: &QueuedMessage, at: f64, share: f64) -> f64 {
+        let late_ms = at - message.arrived_at.get() - class.aim_ms;
+        if at >= message.due.get() {
             return 0.0;
         }
-        let left = match self.s.value_decay {
-            _ if late <= 0.0 => 1.0,
-            ValueDecay::Halving => 0.5f64.powf(late / c.aim_ms).max(c.late_value),
+        let remaining = match self.settings.value_decay {
+            _ if late_ms <= 0.0 => 1.0,
+            ValueDecay::Halving => 0.5f64.powf(late_ms / class.aim_ms).max(class.late_value),
             ValueDecay::Linear => {
-                1.0 - (1.0 - c.late_value) * (late / (c.deadline_ms - c.aim_ms).max(1.0)).min(1.0)
+                1.0 - (1.0 - class.late_value)
+                    * (late_ms / (class.deadline_ms - class.aim_ms).max(1.0)).min(1.0)
             }
         };
-        left * c.value * share
+        remaining * class.value * share
     }
 
-    /// Expected worth of a tenant's request: which of its requests are beyond its share nobody tells, but
-    /// how much of its traffic is shows. Each relay gets some part of all traffic, long measured over all
-    /// tenants; a tenant that sends more than that part of its rate is beyond its share here.
-    fn in_share(&self, tenant: usize) -> f64 {
-        let (Some(meter), Some(rate)) = (self.tenants.get(tenant), self.s.tenant_rates.get(tenant)) else {
+    /// Returns the expected value of a tenant's message as a part of its class's value. Nobody says which
+    /// messages exceed the tenant's share, but the tenant's part of the traffic is known. This relay gets
+    /// some part of all traffic, measured over a long time and all tenants; a tenant that sends more than
+    /// that part of its agreed rate is beyond its share here.
+    fn share_factor(&self, tenant: usize) -> f64 {
+        let (Some(meter), Some(rate)) =
+            (self.tenant_meters.get(tenant), self.settings.tenant_rates.get(tenant))
+        else {
             return 1.0;
         };
-        let part =
-            (self.all.rate(self.now) / self.tenants_total.max(1e-9)).clamp(1.0 / self.s.relays as f64, 1.0);
-        let share = (part * rate / meter.rate(self.now).max(1e-9)).min(1.0);
-        share + (1.0 - share) * self.s.over_share_value
+        let relay_part = (self.total_meter.rate(self.now) / self.total_tenant_rate.max(1e-9))
+            .clamp(1.0 / self.settings.relays as f64, 1.0);
+        let share = (relay_part * rate / meter.rate(self.now).max(1e-9)).min(1.0);
+        share + (1.0 - share) * self.settings.over_share_value
     }
 
-    // ---- endpoints and lanes
+    // ---- endpoints and endpoint groups
 
-    /// The lane's limit if told, as this relay's even part.
-    fn part(&self, group: &EndpointGroup) -> Option<f64> {
-        group.told.map(|t| t / self.s.relays as f64)
+    /// Returns this relay's even share of the group's reported limit, if a limit was reported.
+    fn even_share(&self, group: &EndpointGroup) -> Option<f64> {
+        group.reported_limit.map(|limit| limit / self.settings.relays as f64)
     }
 
-    /// Whether a relay's own calls are few of all.
-    fn crowded(&self) -> bool {
-        self.s.relays as f64 >= CROWD
+    /// Whether there are so many relays that this one makes only a small part of all calls.
+    fn many_relays(&self) -> bool {
+        self.settings.relays as f64 >= MANY_RELAYS
     }
 
-    /// What a lane that came back bears in one span of the rule, as this relay's part: a multiple of what it
-    /// can do cold, growing as it warms, judged by what this relay usually delivered there before.
-    fn bears(&self, group: &EndpointGroup, since: f64) -> f64 {
-        let s = &self.s;
-        let warm = ((self.now - since) / s.warm_after_ms).clamp(0.0, 1.0);
-        let able = s.cold_share + (1.0 - s.cold_share) * warm;
-        let usual = group.usual.rate(self.now).max(group.before).max(self.part(group).unwrap_or(0.0));
-        // What it delivers now it may get again: slowness is no outage. A multiple would prove itself.
-        (s.fall_multiple * able * usual).max(group.soon.rate(self.now)) * s.fall_ms / 1000.0
+    /// Returns how many calls a recovered group can take within `fall_ms`, as this relay's share: a multiple
+    /// of its capacity, which is low after an outage and grows while the group warms up. The rate that this
+    /// relay usually delivered there before serves as the full capacity.
+    fn slow_start_capacity(&self, group: &EndpointGroup, since: f64) -> f64 {
+        let settings = &self.settings;
+        let warm_fraction = ((self.now - since) / settings.warm_after_ms).clamp(0.0, 1.0);
+        let capacity_share = settings.cold_share + (1.0 - settings.cold_share) * warm_fraction;
+        let usual_rate =
+            group.long_rate.rate(self.now).max(group.rate_before).max(self.even_share(group).unwrap_or(0.0));
+        // A group may always get the rate that it delivers now: being slow is no outage. A multiple of that
+        // rate would grow by its own effect.
+        (settings.fall_multiple * capacity_share * usual_rate).max(group.short_rate.rate(self.now))
+            * settings.fall_ms
+            / 1000.0
     }
 
-    /// When the lane may take a call: now, or at a later time (`f64::MAX`: not before something happens).
-    pub(crate) fn gate(&self, id: &EndpointGroupId) -> f64 {
-        let Some(l) = self.f.groups.get(id) else { return self.now };
-        let mut at = l.wait_until.max(l.quiet_until);
-        match l.phase {
-            BreakerState::Open if l.trial_out => return f64::MAX,
-            BreakerState::Open => return at.max(l.trial_at),
+    /// Returns when the group may take a call: now, or a later time (`f64::MAX`: not before some event).
+    pub(crate) fn call_allowed_at(&self, id: &EndpointGroupId) -> f64 {
+        let Some(group) = self.fleet.groups.get(id) else { return self.now };
+        let mut at = group.retry_after_until.max(group.backoff_until);
+        match group.breaker {
+            BreakerState::Open if group.trial_in_flight => return f64::MAX,
+            BreakerState::Open => return at.max(group.trial_at),
             BreakerState::SlowStart(since) => {
-                // Less than one call in a span is one in a longer span: hundreds of relays return together.
-                let bears = self.bears(l, since);
-                let span = (self.s.fall_ms / bears.clamp(0.01, 1.0)).min(self.s.warm_after_ms);
-                let (sent, oldest) = l.sent.after(self.now - span);
-                if sent + 1.0 > bears.max(1.0) {
+                // Less than one call per span is one call in a longer span: hundreds of relays resume at the
+                // same time.
+                let capacity = self.slow_start_capacity(group, since);
+                let span =
+                    (self.settings.fall_ms / capacity.clamp(0.01, 1.0)).min(self.settings.warm_after_ms);
+                let (sent, oldest) = group.recent_sends.after(self.now - span);
+                if sent + 1.0 > capacity.max(1.0) {
                     at = at.max((oldest.unwrap_or(self.now) + span + 1.0).min(self.now + 250.0));
                 }
             }
             BreakerState::Closed => {}
         }
-        // One answer tells whether there is a limit; of many relays each more than one call would use it up.
-        let unknown = self.s.limit_column.is_some() && l.told.is_none() && l.good_at == 0.0;
-        if unknown && self.crowded() && l.calls.oldest().next().is_some() {
+        // One answer shows whether there is a limit. With many relays, more than one call from each would use
+        // it up.
+        let limit_unknown = self.settings.limit_column.is_some()
+            && group.reported_limit.is_none()
+            && group.last_delivery_at == 0.0;
+        if limit_unknown && self.many_relays() && group.calls.oldest().next().is_some() {
             return f64::MAX;
         }
-        at.max(l.ready(self.now))
+        at.max(group.token_ready_at(self.now))
     }
 
-    /// Whether a destination is sick: a call outruns its latency, or its last outcome failed.
-    pub(crate) fn sick(&self, dest: u64) -> bool {
-        let late = |l: &EndpointGroup| {
-            l.calls.oldest().any(|(kind, sent, _)| self.now - sent > l.overrun(kind.aim.get()))
+    /// Whether a destination is degraded: a call overruns its expected latency, or the last outcome was a
+    /// failure.
+    pub(crate) fn is_degraded(&self, destination_id: u64) -> bool {
+        let overruns = |group: &EndpointGroup| {
+            group.calls.oldest().any(|(kind, sent, _)| self.now - sent > group.overrun_ms(kind.aim_ms.get()))
         };
-        self.f.groups_of(dest).any(|(_, l)| l.failing || l.phase == BreakerState::Open || late(l))
+        self.fleet
+            .groups_of(destination_id)
+            .any(|(_, group)| group.last_failed || group.breaker == BreakerState::Open || overruns(group))
     }
 
-    /// The slot ceiling: under three quarters of the slots, half while sick.
-    pub(crate) fn ceiling(&self, dest: u64) -> usize {
-        let most = if self.sick(dest) { self.s.slots / 2 } else { self.s.slots * 3 / 4 };
-        most.max(1)
+    /// Returns the maximum number of slots for one destination: three quarters of all, or half while it is
+    /// degraded.
+    pub(crate) fn slot_limit(&self, destination_id: u64) -> usize {
+        let limit = if self.is_degraded(destination_id) {
+            self.settings.slots / 2
+        } else {
+            self.settings.slots * 3 / 4
+        };
+        limit.max(1)
     }
 
-    /// A lane is out, or a trial of it failed; `answered` says after how long, if it answered at all.
-    fn shut(&mut self, id: &EndpointGroupId, why: &str, answered: Option<f64>, out: &mut Vec<Action>) {
+    /// Opens the breaker of a group, or schedules the next trial after one failed. `answered_after` is the
+    /// time after which the call was answered with an error, if it was answered.
+    fn open_breaker(
+        &mut self, id: &EndpointGroupId, why: &str, answered_after: Option<f64>, actions: &mut Vec<Action>,
+    ) {
         let (now, jitter) = (self.now, 0.75 + 0.5 * self.rng.f64());
-        let cold = self.f.groups.get(id).map_or(0.0, |l| self.bears(l, now));
-        let Some(l) = self.f.groups.get_mut(id) else { return };
-        if l.phase != BreakerState::Open {
-            out.push(Action::Log(format!("destination {} out: {why}", id.0)));
-            l.trial_out = false;
+        let cold_capacity =
+            self.fleet.groups.get(id).map_or(0.0, |group| self.slow_start_capacity(group, now));
+        let Some(group) = self.fleet.groups.get_mut(id) else { return };
+        if group.breaker != BreakerState::Open {
+            actions.push(Action::Log(format!("destination {} out: {why}", id.0)));
+            group.trial_in_flight = false;
         }
-        l.before = if l.phase == BreakerState::Closed { l.usual.rate(now) } else { l.before };
-        // Trials use up the limit, or push over what returns: who calls seldom tries seldom.
-        let (gap, crowd) = (1000.0 / l.before.max(1e-9), self.s.relays as f64);
-        let least = gap.clamp(TRIAL_MS.0, (TRIAL_MS.0 * crowd).min(TRIAL_MS.2));
-        // In a crowd some relay finds a return at once, but each hears of it by its own trial alone.
-        let floor = if crowd >= CROWD { TRIAL_CROWD_MS } else { TRIAL_MS.1 };
-        let most = (2.0 * gap).clamp(floor, (TRIAL_MS.0 * crowd).clamp(floor, TRIAL_MS.3));
-        let wait = l.backoff.max(least).min(most);
-        // A destination that answers with errors is there, and some of what it is sent may well be delivered:
-        // trials go as fast as it bears when it comes back cold, and find its return at once. It also guards
-        // against errors that only some calls get. It could do harm where errors use up a limit, or cost more
-        // than a delivery; so never without an answer, and never beyond the budget of a ramp.
-        let paced = (self.s.fall_ms / cold.max(1e-9)).min(wait);
-        l.trial_at = now + answered.map_or(wait * jitter, |took| (paced * jitter - took).max(0.0));
-        l.backoff = answered.map_or(2.0 * wait, |_| l.backoff);
-        l.answers = answered.is_some();
-        l.phase = BreakerState::Open;
-        (l.good, l.probe_good) = (0, false);
+        group.rate_before =
+            if group.breaker == BreakerState::Closed { group.long_rate.rate(now) } else { group.rate_before };
+        // Trials use up the limit or overload a recovering host, so a relay that calls seldom also tries
+        // seldom.
+        let (call_interval, relays) = (1000.0 / group.rate_before.max(1e-9), self.settings.relays as f64);
+        let min_wait =
+            call_interval.clamp(TRIAL_INTERVAL_MS.0, (TRIAL_INTERVAL_MS.0 * relays).min(TRIAL_INTERVAL_MS.2));
+        // With many relays one of them finds a recovery at once, but each learns of it only by its own trial.
+        let floor = if relays >= MANY_RELAYS { MANY_RELAYS_TRIAL_INTERVAL_MS } else { TRIAL_INTERVAL_MS.1 };
+        let max_wait = (2.0 * call_interval)
+            .clamp(floor, (TRIAL_INTERVAL_MS.0 * relays).clamp(floor, TRIAL_INTERVAL_MS.3));
+        let wait = group.trial_interval_ms.max(min_wait).min(max_wait);
+        // A destination that answers with errors is reachable, and may well deliver some of what it gets. So
+        // trials go at the rate that it can take after a cold start, and find a recovery at once; this also
+        // guards against errors that only some calls get. Trials this frequent would do harm where errors use
+        // up a limit or cost more than a delivery, so they never happen without an answer and never exceed
+        // the budget of slow start.
+        let error_wait = (self.settings.fall_ms / cold_capacity.max(1e-9)).min(wait);
+        group.trial_at =
+            now + answered_after.map_or(wait * jitter, |took_ms| (error_wait * jitter - took_ms).max(0.0));
+        group.trial_interval_ms = answered_after.map_or(2.0 * wait, |_| group.trial_interval_ms);
+        group.answers_errors = answered_after.is_some();
+        group.breaker = BreakerState::Open;
+        (group.trial_successes, group.probe_succeeded) = (0, false);
     }
 
-    /// A trial call or probe succeeded: after that, the lane is taken to be back, and cold.
-    fn back(&mut self, id: &EndpointGroupId, out: &mut Vec<Action>) {
+    /// Records a successful trial call or probe. After enough of them the group counts as recovered but cold.
+    fn trial_succeeded(&mut self, id: &EndpointGroupId, actions: &mut Vec<Action>) {
         let now = self.now;
-        // Three at once from each of many relays are more than a ramp: they go as fast as it bears.
-        let bears = self.f.groups.get(id).filter(|l| l.answers).map_or(f64::MAX, |l| self.bears(l, now));
-        let Some(l) = self.f.groups.get_mut(id) else { return };
-        l.good += 1;
-        l.trial_at = now + (self.s.fall_ms / bears.max(1e-9)).min(self.s.warm_after_ms);
+        // Three calls at once from each of many relays would exceed slow start, so the trials go at the rate
+        // that the group can take.
+        let capacity = self
+            .fleet
+            .groups
+            .get(id)
+            .filter(|group| group.answers_errors)
+            .map_or(f64::MAX, |group| self.slow_start_capacity(group, now));
+        let Some(group) = self.fleet.groups.get_mut(id) else { return };
+        group.trial_successes += 1;
+        group.trial_at = now + (self.settings.fall_ms / capacity.max(1e-9)).min(self.settings.warm_after_ms);
         // Where calls fail at random, one success proves little.
-        let enough = if l.answers { GOODS.1 } else { GOODS.0 };
-        if l.good >= if l.share > 0.5 { enough } else { 1 } {
-            l.phase = BreakerState::SlowStart(now);
-            (l.fails, l.share, l.fulls, l.pace, l.failing) = (0, 0.0, 0, None, false);
-            out.push(Action::Log(format!("destination {} back, ramping", id.0)));
+        let needed = if group.answers_errors { CLOSE_SUCCESS_COUNTS.1 } else { CLOSE_SUCCESS_COUNTS.0 };
+        if group.trial_successes >= if group.failure_share > 0.5 { needed } else { 1 } {
+            group.breaker = BreakerState::SlowStart(now);
+            (
+                group.consecutive_failures,
+                group.failure_share,
+                group.consecutive_refusals,
+                group.rate_limit,
+                group.last_failed,
+            ) = (0, 0.0, 0, None, false);
+            actions.push(Action::Log(format!("destination {} back, ramping", id.0)));
         }
     }
 
-    /// What the end of a call or probe says of its lane and endpoint.
-    fn learn(&mut self, seen: &Seen, out: &mut Vec<Action>) {
-        let &Seen { group: id, host, outcome: o, took, wait, trial } = seen;
+    /// Updates the group and the endpoint with the outcome of a call or probe.
+    fn learn_from(&mut self, observation: &CallObservation, actions: &mut Vec<Action>) {
+        let &CallObservation { group: id, endpoint, outcome, took_ms, retry_after_ms, trial } = observation;
         let now = self.now;
-        let part = self.f.groups.get(id).and_then(|l| self.part(l));
-        let ((first, few), crowd) = (self.paces(), self.crowded());
-        let held = self.f.dests.get(&id.0).is_some_and(|d| d.held > 0);
-        let Some(l) = self.f.groups.get_mut(id) else { return };
-        l.trial_out &= !trial;
-        // A wait is told by a refusal, or by an answer that shows nothing else for certain.
-        l.wait_until = l.wait_until.max(if wait > 0.0 { now + wait } else { 0.0 });
-        match o {
+        let even_share = self.fleet.groups.get(id).and_then(|group| self.even_share(group));
+        let ((first_rate, low_rate), many_relays) = (self.rate_thresholds(), self.many_relays());
+        let has_queued = self.fleet.destinations.get(&id.0).is_some_and(|destination| destination.queued > 0);
+        let Some(group) = self.fleet.groups.get_mut(id) else { return };
+        group.trial_in_flight &= !trial;
+        // A Retry-After comes with a refusal, or with an answer that shows nothing else for certain.
+        group.retry_after_until =
+            group.retry_after_until.max(if retry_after_ms > 0.0 { now + retry_after_ms } else { 0.0 });
+        match outcome {
             Outcome::Cancelled | Outcome::NotSent => return,
-            Outcome::Stale => return self.conns_hurt.extend(self.f.hosts.get(host).map(|h| (h.kind, now))),
+            Outcome::Stale => {
+                return self
+                    .connection_failures
+                    .extend(self.fleet.hosts.get(endpoint).map(|host| (host.kind, now)))
+            }
             Outcome::Delivered => {
-                l.measure(took);
-                l.refill(now);
-                (l.failing, l.fails, l.fulls) = (false, 0, 0);
-                l.share *= 0.8;
-                l.good_at = now;
-                l.soon.add(now, 1.0);
-                l.usual.add(now, f64::from(u8::from(l.phase != BreakerState::Open)));
-                if matches!(l.phase, BreakerState::SlowStart(since) if now - since > self.s.warm_after_ms) {
-                    (l.phase, l.backoff) = (BreakerState::Closed, TRIAL_MS.0);
+                group.record_latency(took_ms);
+                group.refill(now);
+                (group.last_failed, group.consecutive_failures, group.consecutive_refusals) = (false, 0, 0);
+                group.failure_share *= 0.8;
+                group.last_delivery_at = now;
+                group.short_rate.add(now, 1.0);
+                group.long_rate.add(now, f64::from(u8::from(group.breaker != BreakerState::Open)));
+                if matches!(
+                    group.breaker,
+                    BreakerState::SlowStart(since) if now - since > self.settings.warm_after_ms
+                ) {
+                    (group.breaker, group.trial_interval_ms) = (BreakerState::Closed, TRIAL_INTERVAL_MS.0);
                 }
-                // A pace that is not used proves nothing (as with a congestion window, RFC 7661): growing all
-                // the same it ends far beyond any limit, and a told wait that ends lets a flood go. It also
-                // guards against a limit that falls. It could do harm where a rush begins after a refusal and
-                // no limit is told: then it takes some seconds to find what may be sent.
-                let proved = (GROW * l.soon.rate(now)).max(part.unwrap_or(0.0)).max(first);
-                if let Some(part) = part.filter(|_| crowd) {
-                    l.share_delivered(now, part, held);
-                } else if let Some(pace) = l.pace.as_mut().filter(|pace| **pace < proved) {
-                    let gain = if *pace > few { GAIN.0 } else { GAIN.1 };
-                    *pace = (*pace + gain * part.unwrap_or(*pace).max(*pace)).min(proved);
+                // An unused rate limit is no evidence of capacity (compare RFC 7661 for congestion windows):
+                // if it grew all the same, it would end far above any real limit, and the end of a
+                // Retry-After would release a flood. The bound also guards against a limit that falls. Its
+                // cost: where a rush begins after a refusal and no limit is reported, it takes some seconds
+                // to find the rate that can be sent.
+                let max_rate = (MAX_RATE_PER_DELIVERED * group.short_rate.rate(now))
+                    .max(even_share.unwrap_or(0.0))
+                    .max(first_rate);
+                if let Some(even_share) = even_share.filter(|_| many_relays) {
+                    group.adjust_rate_limit(now, even_share, has_queued);
+                } else if let Some(rate_limit) =
+                    group.rate_limit.as_mut().filter(|rate_limit| **rate_limit < max_rate)
+                {
+                    let gain = if *rate_limit > low_rate { RATE_GAINS.0 } else { RATE_GAINS.1 };
+                    *rate_limit = (*rate_limit + gain * even_share.unwrap_or(*rate_limit).max(*rate_limit))
+                        .min(max_rate);
                 }
-                l.pace = l.pace.filter(|_| crowd || now - l.cut_at <= LONG_MS);
-                if let Some(h) = self.f.hosts.get_mut(host) {
-                    (h.fails, h.shun_until) = (0, 0.0);
+                group.rate_limit = group
+                    .rate_limit
+                    .filter(|_| many_relays || now - group.rate_cut_at <= LONG_RATE_WINDOW_MS);
+                if let Some(host) = self.fleet.hosts.get_mut(endpoint) {
+                    (host.consecutive_failures, host.avoid_until) = (0, 0.0);
                 }
-                if l.phase == BreakerState::Open && l.unproved {
-                    // Shut for late answers alone, and now they come: it was slow, not gone.
-                    (l.phase, l.backoff) = (BreakerState::Closed, TRIAL_MS.0);
-                } else if l.phase == BreakerState::Open && (trial || !l.answers) {
-                    // What was out before most calls failed says nothing of now.
-                    self.back(id, out);
+                if group.breaker == BreakerState::Open && group.opened_on_overrun {
+                    // The breaker opened only because answers were late, and now they arrive: the group was
+                    // slow, not gone.
+                    (group.breaker, group.trial_interval_ms) = (BreakerState::Closed, TRIAL_INTERVAL_MS.0);
+                } else if group.breaker == BreakerState::Open && (trial || !group.answers_errors) {
+                    // A call that was in flight before most calls failed says nothing about the present.
+                    self.trial_succeeded(id, actions);
                 }
                 return;
             }
             Outcome::Full => {
-                l.unproved = false;
-                l.full_since = if l.fulls == 0 { now } else { l.full_since };
-                l.fulls += 1;
-                // Among many relays a run of refusals is the rush of all, where the answers tell a limit.
-                let lone = !crowd || part.is_none();
-                let again = lone && l.fulls >= SHUT_FULLS && now - l.full_since > SHUT_MS;
-                let again = again || l.phase == BreakerState::Open;
-                let once = l.fulls < 2;
-                // Turned away with much of the limit left: the endpoint is full or cold, another may not be.
-                let shun = now + SHUN_MS * (0.5 + self.rng.f64());
-                if let Some(h) = self.f.hosts.get_mut(host).filter(|_| crowd && l.left > SPARE) {
-                    h.shun_until = h.shun_until.max(shun);
+                group.opened_on_overrun = false;
+                group.refused_since = if group.consecutive_refusals == 0 { now } else { group.refused_since };
+                group.consecutive_refusals += 1;
+                // Where answers report a limit and there are many relays, consecutive refusals are caused by
+                // the rush of all relays.
+                let not_a_rush = !many_relays || even_share.is_none();
+                let open_again = not_a_rush
+                    && group.consecutive_refusals >= OPEN_REFUSAL_COUNT
+                    && now - group.refused_since > OPEN_REFUSAL_SPAN_MS;
+                let open_again = open_again || group.breaker == BreakerState::Open;
+                let first_refusal = group.consecutive_refusals < 2;
+                // A refusal with much of the limit remaining: this endpoint is full or cold, another one may
+                // not be.
+                let avoid_until = now + MEAN_AVOIDANCE_MS * (0.5 + self.rng.f64());
+                if let Some(host) = self
+                    .fleet
+                    .hosts
+                    .get_mut(endpoint)
+                    .filter(|_| many_relays && group.remaining_share > OWN_REFUSAL_REMAINING_SHARE)
+                {
+                    host.avoid_until = host.avoid_until.max(avoid_until);
                 }
-                self.slow(id, wait > 0.0 && once);
-                if again {
-                    self.shut(id, "refuses everything", None, out);
+                self.lower_rate_limit(id, retry_after_ms > 0.0 && first_refusal);
+                if open_again {
+                    self.open_breaker(id, "refuses everything", None, actions);
                 }
                 return;
             }
             _ => {}
         }
 
-        (l.failing, l.unproved) = (true, false);
-        // A time-out on a lane that delivered since the send is one lost answer, else it speaks for silence.
-        l.fails += if o == Outcome::TimedOut && l.good_at < now - took { 2 } else { 1 };
-        l.share = l.share * 0.8 + 0.2;
-        if let Some(h) = self.f.hosts.get_mut(host) {
-            let hurt = matches!(o, Outcome::NoConnection | Outcome::Broken);
-            self.conns_hurt.extend(hurt.then_some((h.kind, now)));
-            h.fails += 1;
-            h.shun_until = now + TRIAL_MS.0 * f64::from(1u32 << h.fails.min(3));
-            h.conns = 0;
+        (group.last_failed, group.opened_on_overrun) = (true, false);
+        // A time-out on a group that has delivered since the send is one lost answer; otherwise it indicates
+        // that the group is silent, and counts twice.
+        group.consecutive_failures +=
+            if outcome == Outcome::TimedOut && group.last_delivery_at < now - took_ms { 2 } else { 1 };
+        group.failure_share = group.failure_share * 0.8 + 0.2;
+        if let Some(host) = self.fleet.hosts.get_mut(endpoint) {
+            let connection_failed = matches!(outcome, Outcome::NoConnection | Outcome::Broken);
+            self.connection_failures.extend(connection_failed.then_some((host.kind, now)));
+            host.consecutive_failures += 1;
+            host.avoid_until =
+                now + TRIAL_INTERVAL_MS.0 * f64::from(1u32 << host.consecutive_failures.min(3));
+            host.connections = 0;
         }
-        let (fails, share, phase, sparse) = (l.fails, l.share, l.phase, l.usual.rate(now) < few);
-        let every =
-            self.f.hosts_of(id.0).filter(|x| x.1.status == EndpointStatus::Active).all(|x| x.1.fails > 0);
-        if fails >= 2 && sparse {
-            self.slow(id, false);
+        let (failures, failure_share, breaker, low_traffic) = (
+            group.consecutive_failures,
+            group.failure_share,
+            group.breaker,
+            group.long_rate.rate(now) < low_rate,
+        );
+        let every_endpoint_fails = self
+            .fleet
+            .hosts_of(id.0)
+            .filter(|x| x.1.status == EndpointStatus::Active)
+            .all(|x| x.1.consecutive_failures > 0);
+        if failures >= 2 && low_traffic {
+            self.lower_rate_limit(id, false);
         }
-        // While out only a failed trial puts the next one off: what was out before says nothing new.
-        let enough = if phase == BreakerState::Closed { OUT_FAILS } else { OUT_FAILS - 2 };
-        if if phase == BreakerState::Open { trial } else { (every && fails >= enough) || share > OUT_SHARE } {
-            self.shut(id, "calls fail", (o == Outcome::Error).then_some(took), out);
+        // While the breaker is open only a failed trial postpones the next one: calls that were in flight
+        // before show nothing new.
+        let failures_to_open =
+            if breaker == BreakerState::Closed { OPEN_FAILURE_COUNT } else { OPEN_FAILURE_COUNT - 2 };
+        if if breaker == BreakerState::Open {
+            trial
+        } else {
+            (every_endpoint_fails && failures >= failures_to_open) || failure_share > OPEN_FAILURE_SHARE
+        } {
+            self.open_breaker(id, "calls fail", (outcome == Outcome::Error).then_some(took_ms), actions);
         }
     }
 
-    /// In calls a second: the first pace after a refusal, one call in the mean aim, which is what a request
-    /// has to spend; and the rate under which calls are few, less where own calls are most of all.
-    fn paces(&self) -> (f64, f64) {
-        let aims: f64 = self.s.classes.iter().map(|c| c.aim_ms).sum();
-        let first = 1000.0 * self.s.classes.len() as f64 / aims.max(1.0);
-        (first, first * (self.s.relays as f64 / CROWD).min(1.0))
+    /// Returns two rates in calls a second. The first is the rate limit after a refusal: one call per mean
+    /// aim, which is the time that a message can spend. The second is the rate below which this relay counts
+    /// as calling seldom; it is lower where few relays share the destinations, since this relay's calls are
+    /// then most of all calls.
+    fn rate_thresholds(&self) -> (f64, f64) {
+        let aims: f64 = self.settings.classes.iter().map(|class| class.aim_ms).sum();
+        let first_rate = 1000.0 * self.settings.classes.len() as f64 / aims.max(1.0);
+        (first_rate, first_rate * (self.settings.relays as f64 / MANY_RELAYS).min(1.0))
     }
 
-    /// A refusal, or failures in a row where calls are few: the lane gets a lower pace. Without it hundreds
-    /// of relays that each know little use up a limit, or push over what returns.
-    fn slow(&mut self, id: &EndpointGroupId, told: bool) {
-        let (now, random, (first, few)) = (self.now, self.rng.f64(), self.paces());
-        let part = self.f.groups.get(id).and_then(|l| self.part(l)).unwrap_or(0.0);
-        let crowd = part > 0.0 && self.crowded();
-        let Some(l) = self.f.groups.get_mut(id) else { return };
-        if crowd {
-            let more = [self.rng.f64(), self.rng.f64()];
-            return l.share_refused(now, part, random, more);
+    /// Lowers the group's rate limit after a refusal, or after consecutive failures where calls are few.
+    /// Without this, hundreds of relays that each know little use up a limit or overload a recovering host.
+    fn lower_rate_limit(&mut self, id: &EndpointGroupId, retry_after_received: bool) {
+        let (now, random, (first_rate, low_rate)) = (self.now, self.rng.f64(), self.rate_thresholds());
+        let even_share = self.fleet.groups.get(id).and_then(|group| self.even_share(group)).unwrap_or(0.0);
+        let share_known = even_share > 0.0 && self.many_relays();
+        let Some(group) = self.fleet.groups.get_mut(id) else { return };
+        if share_known {
+            let random_tokens = [self.rng.f64(), self.rng.f64()];
+            return group.cut_rate_limit(now, even_share, random, random_tokens);
         }
-        if now - l.cut_at > CUT_MS {
-            // A limit that has fallen shows in what is delivered and told: the cut starts from there.
-            let proved = (GROW * l.soon.rate(now)).max(part).max(first);
-            let had = l.pace.map_or(l.soon.rate(now), |pace| pace.min(proved));
-            // The first cut stops at a small pace, or this relay's part of a told limit; later ones go on.
-            let first = (part * 0.8).max(first);
-            let floor = if l.pace.is_none() { first } else { (0.9 / self.s.relays as f64).min(first) };
-            l.pace = Some((had * if had > few { CUT.0 } else { CUT.1 }).max(floor));
-            l.cut_at = now;
+        if now - group.rate_cut_at > RATE_CUT_INTERVAL_MS {
+            // A limit that has fallen shows in the delivery rate and in the reported limit: the cut starts
+            // from there.
+            let max_rate =
+                (MAX_RATE_PER_DELIVERED * group.short_rate.rate(now)).max(even_share).max(first_rate);
+            let previous =
+                group.rate_limit.map_or(group.short_rate.rate(now), |rate_limit| rate_limit.min(max_rate));
+            // The first cut stops at a small rate, or at this relay's share of a reported limit; later cuts
+            // go further.
+            let first_rate = (even_share * 0.8).max(first_rate);
+            let floor = if group.rate_limit.is_none() {
+                first_rate
+            } else {
+                (0.9 / self.settings.relays as f64).min(first_rate)
+            };
+            group.rate_limit = Some(
+                (previous * if previous > low_rate { RATE_CUT_FACTORS.0 } else { RATE_CUT_FACTORS.1 })
+                    .max(floor),
+            );
+            group.rate_cut_at = now;
         }
-        l.refill(now);
-        // At the end of a told wait there is room for one; else the next call waits for its token.
-        l.tokens = if told { 1.0 } else { l.tokens.min(0.5) - random };
+        group.refill(now);
+        // After a Retry-After there is room for one call; otherwise the next call waits for its token.
+        group.tokens = if retry_after_received { 1.0 } else { group.tokens.min(0.5) - random };
     }
 
-    fn report(&mut self, id: &EndpointGroupId, report: &[f64]) {
-        let limit = self.s.limit_column.and_then(|c| report.get(c)).filter(|x| x.is_finite() && **x > 0.0);
-        let left = self.s.remaining_column.and_then(|c| report.get(c)).filter(|x| x.is_finite());
-        let part = limit.filter(|_| self.crowded()).map(|limit| limit / self.s.relays as f64);
-        let had = self.f.groups.get(id).and_then(|l| self.part(l));
-        self.f.groups.get_mut(id).into_iter().for_each(|l| {
-            part.into_iter().for_each(|part| l.share_told(had, part));
-            l.told = limit.copied().or(l.told);
-            l.left = left.copied().unwrap_or(l.left);
+    /// Takes over the limit and its remaining share from a load report.
+    fn apply_load_report(&mut self, id: &EndpointGroupId, report: &[f64]) {
+        let limit = self
+            .settings
+            .limit_column
+            .and_then(|column| report.get(column))
+            .filter(|x| x.is_finite() && **x > 0.0);
+        let remaining =
+            self.settings.remaining_column.and_then(|column| report.get(column)).filter(|x| x.is_finite());
+        let even_share =
+            limit.filter(|_| self.many_relays()).map(|limit| limit / self.settings.relays as f64);
+        let previous = self.fleet.groups.get(id).and_then(|group| self.even_share(group));
+        self.fleet.groups.get_mut(id).into_iter().for_each(|group| {
+            even_share.into_iter().for_each(|even_share| group.rescale_rate_limit(previous, even_share));
+            group.reported_limit = limit.copied().or(group.reported_limit);
+            group.remaining_share = remaining.copied().unwrap_or(group.remaining_share);
         });
     }
 
-    fn probed(&mut self, host: &str, o: Outcome, report: &[f64], out: &mut Vec<Action>) {
-        let Some(id) = self.probes.remove(host) else { return };
-        self.touch_group(&id);
-        self.report(&id, report);
-        if o != Outcome::Delivered {
-            return self
-                .learn(&Seen { group: &id, host, outcome: o, took: 0.0, wait: 0.0, trial: true }, out);
+    fn probe_ended(&mut self, endpoint: &str, outcome: Outcome, report: &[f64], actions: &mut Vec<Action>) {
+        let Some(id) = self.probes_in_flight.remove(endpoint) else { return };
+        self.mark_group_dirty(&id);
+        self.apply_load_report(&id, report);
+        if outcome != Outcome::Delivered {
+            return self.learn_from(
+                &CallObservation {
+                    group: &id,
+                    endpoint,
+                    outcome,
+                    took_ms: 0.0,
+                    retry_after_ms: 0.0,
+                    trial: true,
+                },
+                actions,
+            );
         }
-        // A probe may be answered beside the queue: it only earns a real call, it proves nothing.
+        // A probe may be answered beside the host's queue: it permits a real trial but proves nothing.
         let now = self.now;
-        let l = self.f.groups.get_mut(&id).into_iter();
-        l.for_each(|l| (l.trial_out, l.probe_good, l.trial_at) = (false, true, now));
+        let group = self.fleet.groups.get_mut(&id).into_iter();
+        group.for_each(|group| {
+            (group.trial_in_flight, group.probe_succeeded, group.trial_at) = (false, true, now)
+        });
     }
 
     // ---- attempts and outcomes
 
-    fn take(&mut self, event: &Event, out: &mut Vec<Action>) {
+    fn accept_request(&mut self, event: &Event, actions: &mut Vec<Action>) {
         let Event::Request { id, class, tenant, key, due, destination } = event else { return };
-        let (id, tenant, dest) = (*id, *tenant, *destination);
-        if self.s.classes.is_empty() || self.msgs.contains_key(&id) {
-            let known = self.msgs.contains_key(&id);
-            return out.extend((!known).then_some(Action::Refuse { id, retry_after_ms: None }));
+        let (id, tenant, destination_id) = (*id, *tenant, *destination);
+        if self.settings.classes.is_empty() || self.messages.contains_key(&id) {
+            let known = self.messages.contains_key(&id);
+            return actions.extend((!known).then_some(Action::Refuse { id, retry_after_ms: None }));
         }
-        let class = (*class).min(self.s.classes.len() - 1);
-        let due = sane(*due, self.now, 1e15);
-        let born = (due - self.s.classes[class].deadline_ms).min(self.now);
-        let key = key.as_deref().filter(|_| self.s.classes[class].in_order).map(Name::from);
+        let class = (*class).min(self.settings.classes.len() - 1);
+        let due = clamp_finite(*due, self.now, 1e15);
+        let arrived_at = (due - self.settings.classes[class].deadline_ms).min(self.now);
+        let key = key.as_deref().filter(|_| self.settings.classes[class].in_order).map(Name::from);
         self.seq += 1;
-        self.keys.queue(&key, self.seq, id);
-        self.tenants.get_mut(tenant).into_iter().chain([&mut self.all]).for_each(|t| t.add(self.now, 1.0));
-        let m = Msg { class, tenant, key, born, due, dest, seq: self.seq, ..Msg::default() };
-        self.msgs.insert(id, m);
-        self.hold(id);
-        self.make_room(out);
+        self.keys.enqueue(&key, self.seq, id);
+        self.tenant_meters
+            .get_mut(tenant)
+            .into_iter()
+            .chain([&mut self.total_meter])
+            .for_each(|t| t.add(self.now, 1.0));
+        let message = Message {
+            class,
+            tenant,
+            key,
+            arrived_at,
+            due,
+            destination_id,
+            seq: self.seq,
+            ..Message::default()
+        };
+        self.messages.insert(id, message);
+        self.enqueue(id);
+        self.shed_load(actions);
     }
 
-    /// A request of an earlier process: what its attempts may have done binds here as it did there.
-    fn restore(&mut self, event: &Event, out: &mut Vec<Action>) {
+    /// Takes over a message of an earlier process. What its attempts may have done has the same consequences
+    /// here as there.
+    fn restore_request(&mut self, event: &Event, actions: &mut Vec<Action>) {
         let Event::Restored {
             id,
             class,
             tenant,
             key,
             due,
-            destination: dest,
+            destination: destination_id,
             attempts,
-            first_uncertain_send: maybe,
+            first_uncertain_send,
             ..
         } = event
         else {
             return;
         };
-        let Event::Restored { may_be_running: uncertain, untried, .. } = event else { return };
-        let (id, class, due) = (*id, (*class).min(self.s.classes.len().saturating_sub(1)), *due);
-        let Some(c) = self.s.classes.get(class) else { return out.push(Action::Fail { id }) };
-        let born = (due - c.deadline_ms).min(self.now);
-        let key = key.as_deref().filter(|_| c.in_order).map(Name::from);
-        let lost = maybe.is_some() && c.effect == Effect::Unsafe;
+        let Event::Restored { may_be_running, untried, .. } = event else { return };
+        let (id, class, due) = (*id, (*class).min(self.settings.classes.len().saturating_sub(1)), *due);
+        let Some(spec) = self.settings.classes.get(class) else { return actions.push(Action::Fail { id }) };
+        let arrived_at = (due - spec.deadline_ms).min(self.now);
+        let key = key.as_deref().filter(|_| spec.in_order).map(Name::from);
+        let cannot_retry = first_uncertain_send.is_some() && spec.effect == Effect::Unsafe;
         self.seq += 1;
-        self.keys.queue(&key, self.seq, id);
-        if *uncertain {
-            self.rest_key(&key, id);
+        self.keys.enqueue(&key, self.seq, id);
+        if *may_be_running {
+            self.pause_key(&key, id);
         }
-        let maybe = maybe.as_ref().map(|(at, name)| (*at, Name::from(name.as_str())));
-        let (tries, tenant, dest, seq, untried) = (*attempts, *tenant, *dest, self.seq, *untried);
-        let m = Msg { class, tenant, key, born, due, dest, seq, tries, maybe, untried, ..Msg::default() };
-        self.msgs.insert(id, m);
-        self.hold(id);
-        if lost || tries >= self.s.max_attempts || self.now >= due - 1.0 {
-            self.give_up(id, out);
+        let first_uncertain_send =
+            first_uncertain_send.as_ref().map(|(at, name)| (*at, Name::from(name.as_str())));
+        let (attempts, tenant, destination_id, seq, untried) =
+            (*attempts, *tenant, *destination_id, self.seq, *untried);
+        let message = Message {
+            class,
+            tenant,
+            key,
+            arrived_at,
+            due,
+            destination_id,
+            seq,
+            attempts,
+            first_uncertain_send,
+            untried,
+            ..Message::default()
+        };
+        self.messages.insert(id, message);
+        self.enqueue(id);
+        if cannot_retry || attempts >= self.settings.max_attempts || self.now >= due - 1.0 {
+            self.give_up(id, actions);
         }
     }
 
-    /// An outage that an earlier process knew of: trials first, or a ramp, as if this one had seen it.
-    fn recall(&mut self, o: &Outage) {
-        let (now, id) = (self.now, (o.destination, Name::from(o.endpoint.as_str())));
-        self.touch_group(&id);
-        let l = self.f.group(&id, || EndpointGroup::new(now));
-        (l.phase, l.before, l.trial_at) =
-            (o.recovered_at.map_or(BreakerState::Open, BreakerState::SlowStart), o.rate_before, now);
+    /// Takes over an outage that an earlier process knew of: trials or slow start follow, as if this process
+    /// had seen the outage.
+    fn restore_outage(&mut self, outage: &Outage) {
+        let (now, id) = (self.now, (outage.destination, Name::from(outage.endpoint.as_str())));
+        self.mark_group_dirty(&id);
+        let group = self.fleet.group_or_insert(&id, || EndpointGroup::new(now));
+        (group.breaker, group.rate_before, group.trial_at) = (
+            outage.recovered_at.map_or(BreakerState::Open, BreakerState::SlowStart),
+            outage.rate_before,
+            now,
+        );
     }
 
-    /// Keeps one place free for what comes next: with the hold full, the request that earns least for the
-    /// time that it keeps its place is refused, the newest first among equals. Without this, what is held
-    /// for dead destinations fills the hold, and what could go straight out is turned away.
-    /// Worth fades and paces change without an event: so the holds that earned least when they were last
-    /// weighed, and those weighed longest ago, are weighed anew, and no more.
-    fn make_room(&mut self, out: &mut Vec<Action>) {
-        // Half full, the weights are made; a quarter full, they are given up: so neither is done often.
-        if !self.weighing && self.msgs.len() * 2 >= self.s.max_open {
-            self.weighing = true;
-            self.unweighed = self.f.dests.walk().filter(|d| d.1.held > 0).map(|d| *d.0).collect();
-        } else if self.weighing && self.msgs.len() * 4 < self.s.max_open {
-            self.weighing = false;
-            self.unweighed.clear();
-            self.earns.clear();
-            self.earned.clear();
+    /// Keeps one place free for the next message. When all places have been taken, the message that brings
+    /// the least value for the time that it keeps its place is refused, the newest first among equals.
+    /// Without this, messages for unreachable destinations fill the queues, and messages that could be sent
+    /// at once are refused.
+    ///
+    /// Value decays and rate limits change without an event. So the queues with the lowest value rates, and
+    /// those whose rates were computed longest ago, are recomputed, and no more than these.
+    fn shed_load(&mut self, actions: &mut Vec<Action>) {
+        // The index is built when half of the places have been taken and dropped at a quarter, so that
+        // neither happens often.
+        if !self.tracks_value_rates && self.messages.len() * 2 >= self.settings.max_open {
+            self.tracks_value_rates = true;
+            self.stale_value_rates = self
+                .fleet
+                .destinations
+                .walk()
+                .filter(|destination| destination.1.queued > 0)
+                .map(|destination| *destination.0)
+                .collect();
+        } else if self.tracks_value_rates && self.messages.len() * 4 < self.settings.max_open {
+            self.tracks_value_rates = false;
+            self.stale_value_rates.clear();
+            self.value_rates.clear();
+            self.value_rate_order.clear();
         }
-        while self.msgs.len() >= self.s.max_open {
-            while let Some(dest) = self.unweighed.pop_first() {
-                self.weigh(dest);
+        while self.messages.len() >= self.settings.max_open {
+            while let Some(destination_id) = self.stale_value_rates.pop_first() {
+                self.update_value_rate(destination_id);
             }
-            let old = self.earned.iter().take(LEAST.1).map(|x| *x.1);
-            let again: Vec<u64> = old.chain(self.earns.iter().take(LEAST.0).map(|x| *x.1)).collect();
-            again.into_iter().for_each(|dest| self.weigh(dest));
-            let least = self.earns.iter().take(LEAST.0).filter_map(|(_, dest)| self.least(*dest));
-            let least = least.min_by(|a, b| a.0.total_cmp(&b.0).then(b.1.seq.cmp(&a.1.seq)));
-            let Some((_, QueuedMessage { id, .. })) = least else { return };
-            let Some(dest) = self.msgs.get(&id).map(|m| m.dest) else { return };
-            let full = self.f.dests.get_mut(&dest).map(|d| &mut d.full_logged);
-            if !full.is_none_or(|logged| std::mem::replace(logged, true)) {
-                out.push(Action::Log(format!("hold full, refusing for destination {dest}")));
+            let stalest = self.value_rate_order.iter().take(REEVALUATED_QUEUES.1).map(|x| *x.1);
+            let recomputed: Vec<u64> =
+                stalest.chain(self.value_rates.iter().take(REEVALUATED_QUEUES.0).map(|x| *x.1)).collect();
+            recomputed.into_iter().for_each(|destination_id| self.update_value_rate(destination_id));
+            let least_valuable = self
+                .value_rates
+                .iter()
+                .take(REEVALUATED_QUEUES.0)
+                .filter_map(|(_, destination_id)| self.least_valuable(*destination_id));
+            let least_valuable =
+                least_valuable.min_by(|a, b| a.0.total_cmp(&b.0).then(b.1.seq.cmp(&a.1.seq)));
+            let Some((_, QueuedMessage { id, .. })) = least_valuable else { return };
+            let Some(destination_id) = self.messages.get(&id).map(|m| m.destination_id) else { return };
+            let queue_full_logged = self
+                .fleet
+                .destinations
+                .get_mut(&destination_id)
+                .map(|destination| &mut destination.queue_full_logged);
+            if !queue_full_logged.is_none_or(|logged| std::mem::replace(logged, true)) {
+                actions.push(Action::Log(format!(
+                    "hold full; refusing messages for destination {destination_id}"
+                )));
             }
-            self.give_up(id, out);
+            self.give_up(id, actions);
         }
     }
 
-    /// Of a destination's hold what earns least for its time: the newest of some class and tenant, delivered
-    /// when all that is held there has gone. Only what it is harmless to refuse counts.
-    pub(crate) fn least(&self, dest: u64) -> Option<(f64, QueuedMessage)> {
-        let d = self.f.dests.get(&dest)?;
-        let wait = self.drain_ms(dest, d.held);
-        let sub_queues = d.sub_queues.iter().filter(|(g, _)| g.first.is_none() && !g.untried);
-        let earns = sub_queues.filter_map(|(g, sub_queue)| {
+    /// Returns the message of a destination's queue with the lowest value per time, and that value rate.
+    /// Candidates are the first and the last due of each class and tenant, taken as delivered when everything
+    /// queued there has been sent. Only messages that are safe to refuse count.
+    pub(crate) fn least_valuable(&self, destination_id: u64) -> Option<(f64, QueuedMessage)> {
+        let destination = self.fleet.destinations.get(&destination_id)?;
+        let wait_ms = self.drain_ms(destination_id, destination.queued);
+        let sub_queues =
+            destination.sub_queues.iter().filter(|(key, _)| key.first_endpoint.is_none() && !key.untried);
+        let value_rates = sub_queues.filter_map(|(key, sub_queue)| {
             step();
-            // The newest would go last; the oldest may have lost its worth.
-            let (c, share) = (&self.s.classes[g.class], self.in_share(g.tenant));
-            let earns = [sub_queue.first(), sub_queue.last()].into_iter().flatten().map(|m| {
-                let at = (self.now + wait).min(m.due.get() - 1.0);
-                (self.value(c, &m, at, share) / wait, m)
+            // The newest would be sent last; the oldest may have lost its value.
+            let (class, share) = (&self.settings.classes[key.class], self.share_factor(key.tenant));
+            let value_rates = [sub_queue.first(), sub_queue.last()].into_iter().flatten().map(|message| {
+                let at = (self.now + wait_ms).min(message.due.get() - 1.0);
+                (self.value(class, &message, at, share) / wait_ms, message)
             });
-            earns.min_by(|a, b| a.0.total_cmp(&b.0).then(b.1.seq.cmp(&a.1.seq)))
+            value_rates.min_by(|a, b| a.0.total_cmp(&b.0).then(b.1.seq.cmp(&a.1.seq)))
         });
-        earns.min_by(|a, b| a.0.total_cmp(&b.0).then(b.1.seq.cmp(&a.1.seq)))
+        value_rates.min_by(|a, b| a.0.total_cmp(&b.0).then(b.1.seq.cmp(&a.1.seq)))
     }
 
-    fn short(&self) -> bool {
-        self.calls.len() + 1 >= self.s.slots
+    fn slots_are_scarce(&self) -> bool {
+        self.calls.len() + 1 >= self.settings.slots
     }
 
-    /// How long a hold takes to send so many requests.
-    fn drain_ms(&self, dest: u64, count: usize) -> f64 {
-        // A well lane without a pace sends as slots allow, also if it never did; one that is out hardly.
-        // While slots are short they allow it an even share of them.
-        let queues = if self.short() { self.credits.len().max(1) } else { 1 };
-        let slots = self.s.slots as f64 / queues as f64;
-        let able = |l: &EndpointGroup| match (l.phase, l.pace) {
+    /// Returns how long a queue takes to send this many messages, in milliseconds.
+    fn drain_ms(&self, destination_id: u64, count: usize) -> f64 {
+        // A healthy group without a rate limit sends as fast as slots allow, even if it never did; one with
+        // an open breaker hardly sends. While slots are scarce, each queue gets an even share of them.
+        let queues = if self.slots_are_scarce() { self.credits.len().max(1) } else { 1 };
+        let slots = self.settings.slots as f64 / queues as f64;
+        let send_rate = |group: &EndpointGroup| match (group.breaker, group.rate_limit) {
             (BreakerState::Open, _) => 0.0,
-            (_, Some(pace)) => pace,
-            (BreakerState::Closed, _) => slots * 1000.0 / l.latency.map_or(1000.0, |x| x.0.max(1.0)),
-            _ => l.soon.rate(self.now).max(l.usual.rate(self.now)),
+            (_, Some(rate_limit)) => rate_limit,
+            (BreakerState::Closed, _) => slots * 1000.0 / group.latency.map_or(1000.0, |x| x.0.max(1.0)),
+            _ => group.short_rate.rate(self.now).max(group.long_rate.rate(self.now)),
         };
-        let rate: f64 = self.f.groups_of(dest).map(|x| able(x.1)).sum();
+        let rate: f64 = self.fleet.groups_of(destination_id).map(|x| send_rate(x.1)).sum();
         count as f64 / rate.max(0.1) * 1000.0
     }
 
-    fn harmless(&self, m: &Msg) -> bool {
-        let c = &self.s.classes[m.class];
-        m.flying.is_empty() && (m.maybe.is_none() || c.effect == Effect::Safe)
+    /// Whether the message can be refused, which tells the client that trying again is harmless: nothing is
+    /// in flight, and no attempt may have had an effect that a repeat would duplicate.
+    fn safe_to_refuse(&self, message: &Message) -> bool {
+        let class = &self.settings.classes[message.class];
+        message.in_flight.is_empty()
+            && (message.first_uncertain_send.is_none() || class.effect == Effect::Safe)
     }
 
-    /// The final answer for a request that will not be sent again: a refusal where that is harmless.
-    fn give_up(&mut self, id: u64, out: &mut Vec<Action>) {
-        let Some(m) = self.msgs.get(&id) else { return };
-        if self.harmless(m) {
-            let wait = self.drain_ms(m.dest, self.f.dests.get(&m.dest).map_or(0, |d| d.held));
-            let retry_after_ms = self.s.retry_after.then(|| wait.min(self.s.max_retry_after_ms));
-            out.push(Action::Refuse { id, retry_after_ms });
+    /// Gives the final answer for a message that will not be sent again: a refusal where that is safe, else a
+    /// failure.
+    fn give_up(&mut self, id: u64, actions: &mut Vec<Action>) {
+        let Some(message) = self.messages.get(&id) else { return };
+        if self.safe_to_refuse(message) {
+            let wait_ms = self.drain_ms(
+                message.destination_id,
+                self.fleet
+                    .destinations
+                    .get(&message.destination_id)
+                    .map_or(0, |destination| destination.queued),
+            );
+            let retry_after_ms =
+                self.settings.retry_after.then(|| wait_ms.min(self.settings.max_retry_after_ms));
+            actions.push(Action::Refuse { id, retry_after_ms });
         } else {
-            out.push(Action::Fail { id });
+            actions.push(Action::Fail { id });
         }
-        self.owe(id);
-        self.close(id, out);
+        self.await_confirmation(id);
+        self.finish(id, actions);
     }
 
-    /// A request is over: it leaves the hold; what is still out for it is called off.
-    fn close(&mut self, id: u64, out: &mut Vec<Action>) {
-        self.unhold(id);
-        let Some(m) = self.msgs.get_mut(&id) else { return };
-        let first = !std::mem::replace(&mut m.over, true);
-        if first && self.s.may_cancel && !m.started {
-            out.extend(m.flying.iter().map(|f| Action::Cancel { id, attempt: f.0 }));
+    /// Ends a message: it leaves its queue, and its attempts in flight are cancelled.
+    fn finish(&mut self, id: u64, actions: &mut Vec<Action>) {
+        self.dequeue(id);
+        let Some(message) = self.messages.get_mut(&id) else { return };
+        let first = !std::mem::replace(&mut message.finished, true);
+        if first && self.settings.may_cancel && !message.response_started {
+            actions.extend(message.in_flight.iter().map(|f| Action::Cancel { id, attempt: f.0 }));
         }
-        if m.flying.is_empty() {
-            let (key, seq) = (m.key.take(), m.seq);
-            self.msgs.remove(&id);
-            let next = key.and_then(|key| self.keys.leave(key, seq, id, self.now));
-            next.into_iter().for_each(|id| self.refile(id));
+        if message.in_flight.is_empty() {
+            let (key, seq) = (message.key.take(), message.seq);
+            self.messages.remove(&id);
+            let next = key.and_then(|key| self.keys.remove(key, seq, id, self.now));
+            next.into_iter().for_each(|id| self.reindex_message(id));
         }
     }
 
-    fn ended(&mut self, event: &Event, out: &mut Vec<Action>) {
-        let Event::Ended { id, attempt, outcome: o, took_ms, settled, wait_ms, report } = event else {
+    fn attempt_ended(&mut self, event: &Event, actions: &mut Vec<Action>) {
+        let Event::Ended { id, attempt, outcome, took_ms, settled, wait_ms, report } = event else {
             return;
         };
-        let (id, o) = (*id, *o);
-        let Some(m) = self.msgs.get_mut(&id) else { return };
-        let Some(at) = m.flying.iter().position(|f| f.0 == *attempt) else { return };
-        let (_, call_id) = m.flying.remove(at);
-        m.untried &= matches!(o, Outcome::NotSent | Outcome::Cancelled);
-        let key = m.key.clone();
+        let (id, outcome) = (*id, *outcome);
+        let Some(message) = self.messages.get_mut(&id) else { return };
+        let Some(at) = message.in_flight.iter().position(|f| f.0 == *attempt) else { return };
+        let (_, call_id) = message.in_flight.remove(at);
+        message.untried &= matches!(outcome, Outcome::NotSent | Outcome::Cancelled);
+        let key = message.key.clone();
         let Some(call) = self.calls.get_mut(&call_id) else { return };
-        call.riders.retain(|x| *x != id);
-        let first = !std::mem::replace(&mut call.counted, true);
-        let over = call.riders.is_empty();
-        let (group, sent, called_off) = (call.group.clone(), call.sent, call.called_off);
-        let Kind { host, trial, .. } = call.kind.clone();
-        if !o.never_ran() && m.maybe.as_ref().is_none_or(|x| sent < x.0) {
-            m.maybe = Some((sent, host.clone()));
+        call.message_ids.retain(|x| *x != id);
+        let first = !std::mem::replace(&mut call.outcome_counted, true);
+        let all_ended = call.message_ids.is_empty();
+        let (group_id, sent_at, cancelled) = (call.group.clone(), call.sent_at, call.cancelled);
+        let CallKind { endpoint, trial, .. } = call.kind.clone();
+        if !outcome.never_ran() && message.first_uncertain_send.as_ref().is_none_or(|x| sent_at < x.0) {
+            message.first_uncertain_send = Some((sent_at, endpoint.clone()));
         }
-        if matches!(o, Outcome::TimedOut | Outcome::Broken | Outcome::Stale | Outcome::Cancelled) {
-            self.rest_key(&key, id);
+        if matches!(outcome, Outcome::TimedOut | Outcome::Broken | Outcome::Stale | Outcome::Cancelled) {
+            self.pause_key(&key, id);
         }
-        self.touch_group(&group);
-        if over {
+        self.mark_group_dirty(&group_id);
+        if all_ended {
             let call = self.calls.remove(&call_id);
-            let l = self.f.groups.get_mut(&group).into_iter().zip(call);
-            l.for_each(|(l, call)| l.calls.take(&call.kind, call.sent, call_id));
-            self.called_off -= usize::from(called_off);
-            // Where connections were refused or broke, idle ones of many relays shut others out, or are dead.
-            let usual = self.f.groups.get(&group).map_or(0.0, |l| l.usual.rate(self.now));
-            let held = self.f.dests.get(&group.0).is_some_and(|d| d.held > 0);
-            let harm = self.f.hosts.get(&host).and_then(|h| self.conns_hurt.get(&h.kind));
-            let hurt = harm.is_some_and(|at| self.now - at < HURT_MS);
-            let close = hurt && !held && usual * KEEP_MS < 1000.0;
-            if let Some(d) = self.f.dests.get_mut(&group.0) {
-                d.out = d.out.saturating_sub(1);
-                d.spend(self.now - sent, o == Outcome::Delivered);
+            let group = self.fleet.groups.get_mut(&group_id).into_iter().zip(call);
+            group.for_each(|(group, call)| group.calls.remove(&call.kind, call.sent_at, call_id));
+            self.cancelled_calls -= usize::from(cancelled);
+            // Where connections were refused or broke, idle connections of many relays keep others out, or
+            // are dead.
+            let long_rate =
+                self.fleet.groups.get(&group_id).map_or(0.0, |group| group.long_rate.rate(self.now));
+            let has_queued =
+                self.fleet.destinations.get(&group_id.0).is_some_and(|destination| destination.queued > 0);
+            let last_failure =
+                self.fleet.hosts.get(&endpoint).and_then(|host| self.connection_failures.get(&host.kind));
+            let failed_recently = last_failure.is_some_and(|at| self.now - at < CONNECTION_FAILURE_MEMORY_MS);
+            let close = failed_recently && !has_queued && long_rate * KEEP_IDLE_CONNECTION_MS < 1000.0;
+            if let Some(destination) = self.fleet.destinations.get_mut(&group_id.0) {
+                destination.calls_in_flight = destination.calls_in_flight.saturating_sub(1);
+                destination.record_call(self.now - sent_at, outcome == Outcome::Delivered);
             }
-            if let Some(h) = self.f.hosts.get_mut(&host) {
-                (h.out, h.used_at) = (h.out.saturating_sub(1), self.now);
-                if close && h.out == 0 {
-                    h.conns = 0;
-                    out.push(Action::CloseIdle { endpoint: host.to_string() });
+            if let Some(host) = self.fleet.hosts.get_mut(&endpoint) {
+                (host.calls_in_flight, host.last_used_at) =
+                    (host.calls_in_flight.saturating_sub(1), self.now);
+                if close && host.calls_in_flight == 0 {
+                    host.connections = 0;
+                    actions.push(Action::CloseIdle { endpoint: endpoint.to_string() });
                 }
             }
         }
-        self.report(&group, report);
+        self.apply_load_report(&group_id, report);
         if first {
-            // What was called off here for its lateness says of the lane what a time-out would have said.
-            let silent = self.f.groups.get(&group).is_some_and(|l| l.good_at < sent);
-            let o = if o == Outcome::Cancelled && called_off && silent { Outcome::TimedOut } else { o };
-            let (took, wait) = (sane(*took_ms, 0.0, 1e9), sane(*wait_ms, 0.0, 1e9));
-            self.learn(&Seen { group: &group, host: &host, outcome: o, took, wait, trial }, out);
+            // A call that was cancelled here for being late says the same about the group as a time-out.
+            let silent =
+                self.fleet.groups.get(&group_id).is_some_and(|group| group.last_delivery_at < sent_at);
+            let outcome = if outcome == Outcome::Cancelled && cancelled && silent {
+                Outcome::TimedOut
+            } else {
+                outcome
+            };
+            let (took_ms, retry_after_ms) =
+                (clamp_finite(*took_ms, 0.0, 1e9), clamp_finite(*wait_ms, 0.0, 1e9));
+            self.learn_from(
+                &CallObservation {
+                    group: &group_id,
+                    endpoint: &endpoint,
+                    outcome,
+                    took_ms,
+                    retry_after_ms,
+                    trial,
+                },
+                actions,
+            );
         }
-        let Some(m) = self.msgs.get_mut(&id) else { return };
-        if *settled || m.over {
-            return self.close(id, out);
+        let Some(message) = self.messages.get_mut(&id) else { return };
+        if *settled || message.finished {
+            return self.finish(id, actions);
         }
-        if !m.flying.is_empty() || m.started || m.held {
+        if !message.in_flight.is_empty() || message.response_started || message.queued {
             return;
         }
-        let tries = m.tries;
-        if (m.maybe.is_some() && self.s.classes[m.class].effect == Effect::Unsafe)
-            || tries >= self.s.max_attempts
-            || self.now >= m.due - 1.0
+        let attempts = message.attempts;
+        if (message.first_uncertain_send.is_some()
+            && self.settings.classes[message.class].effect == Effect::Unsafe)
+            || attempts >= self.settings.max_attempts
+            || self.now >= message.due - 1.0
         {
-            return self.give_up(id, out);
+            return self.give_up(id, actions);
         }
-        if !o.never_ran() || o == Outcome::NotSent {
-            let pause = 50.0 * f64::from(tries) * (0.5 + self.rng.f64());
-            m.not_before = self.now + pause.max(self.s.tick_ms * 2.0);
+        if !outcome.never_ran() || outcome == Outcome::NotSent {
+            let pause = 50.0 * f64::from(attempts) * (0.5 + self.rng.f64());
+            message.not_before = self.now + pause.max(self.settings.tick_ms * 2.0);
         }
-        self.hold(id);
+        self.enqueue(id);
     }
 
-    // ---- the hold
-
-    /// A request waits to be sent.
-    fn hold(&mut self, id: u64) {
-        let zero = self.credits.zero();
-        let Some(m) = self.msgs.get_mut(&id) else { return };
-        m.held = true;
-        let dest = m.dest;
-        let d = self.f.dests.or_insert_with(dest, Destination::default);
-        d.held += 1;
-        if d.held == 1 {
-            d.base = zero;
-            self.backlogged = (self.backlogged.0 + 1, self.backlogged.1 + d.mean_us);
+    // ---- queues
+
+    /// Queues a message for sending.
+    fn enqueue(&mut self, id: u64) {
+        let zero = self.credits.zero_base();
+        let Some(message) = self.messages.get_mut(&id) else { return };
+        message.queued = true;
+        let destination_id = message.destination_id;
+        let destination = self.fleet.destinations.or_insert_with(destination_id, Destination::default);
+        destination.queued += 1;
+        if destination.queued == 1 {
+            destination.credit_base = zero;
+            self.backlogged = (self.backlogged.0 + 1, self.backlogged.1 + destination.slot_time_us);
         }
-        let end = self.msgs.get(&id).map_or(0.0, |m| self.last_send(m));
-        self.ends.set(id, At::new(end));
-        self.refile(id);
+        let end = self.messages.get(&id).map_or(0.0, |message| self.send_deadline(message));
+        self.expiries.set(id, OrderedF64::new(end));
+        self.reindex_message(id);
     }
 
-    /// From when on nothing of its own holds a request back: a pause, an earlier one of its key, a rest.
-    pub(crate) fn free_at(&self, id: u64, m: &Msg) -> f64 {
-        m.not_before.max(m.key.as_ref().map_or(0.0, |key| self.keys.free_at(key, m.seq, id)))
+    /// Returns from when on the message's own state lets it be sent: a pause after a failure, an earlier
+    /// message of its key, or a pause of the key holds it back until then.
+    pub(crate) fn sendable_at(&self, id: u64, message: &Message) -> f64 {
+        message
+            .not_before
+            .max(message.key.as_ref().map_or(0.0, |key| self.keys.sendable_at(key, message.seq, id)))
     }
 
-    /// An attempt may still run: what follows with this key waits.
-    fn rest_key(&mut self, key: &Option<Name>, id: u64) {
-        let rest = self.now + self.s.order_pause_ms;
-        let next = key.as_ref().and_then(|key| self.keys.rest(key, id, rest));
-        next.into_iter().for_each(|id| self.refile(id));
+    /// An attempt may still be running: the next messages of its key wait.
+    fn pause_key(&mut self, key: &Option<Name>, id: u64) {
+        let paused_until = self.now + self.settings.order_pause_ms;
+        let next = key.as_ref().and_then(|key| self.keys.pause(key, id, paused_until));
+        next.into_iter().for_each(|id| self.reindex_message(id));
     }
 
-    /// Until when a request may be sent: a keyed one that may have run, only to arrive within its window.
-    pub(crate) fn last_send(&self, m: &Msg) -> f64 {
-        let c = &self.s.classes[m.class];
-        let within = (1.0 - WAY) * c.dedup_window_ms - self.s.tick_ms;
-        match &m.maybe {
-            Some((at, _)) if c.effect == Effect::Keyed => m.due.min(at + within),
-            _ => m.due,
+    /// Returns until when a message may be sent. A keyed message that may have run is sent only if it arrives
+    /// within its deduplication window.
+    pub(crate) fn send_deadline(&self, message: &Message) -> f64 {
+        let class = &self.settings.classes[message.class];
+        let window_ms = (1.0 - RETRY_TRANSIT_SHARE) * class.dedup_window_ms - self.settings.tick_ms;
+        match &message.first_uncertain_send {
+            Some((at, _)) if class.effect == Effect::Keyed => message.due.min(at + window_ms),
+            _ => message.due,
         }
     }
 
-    /// Whether the endpoint would drop a repeat of what a group's requests may have done already.
-    fn dedup_scope_fits(&self, g: &SubQueueKey, name: &Name, h: &Host) -> bool {
-        let Some(first) = &g.first else { return true };
-        match self.s.classes[g.class].dedup_scope {
+    /// Whether the endpoint would drop a repeat of what the messages of this sub-queue may have done already.
+    fn dedup_scope_fits(&self, key: &SubQueueKey, name: &Name, host: &Host) -> bool {
+        let Some(first) = &key.first_endpoint else { return true };
+        match self.settings.classes[key.class].dedup_scope {
             DedupScope::All => true,
-            DedupScope::Zone => self.f.hosts.get(first).is_some_and(|f| f.zone == h.zone),
+            DedupScope::Zone => self.fleet.hosts.get(first).is_some_and(|f| f.zone == host.zone),
             DedupScope::Endpoint => first == name,
         }
     }
 
     // ---- discovery
 
-    fn discovery(&mut self, news: &ListUpdate, out: &mut Vec<Action>) {
-        let (list, whole) = match news {
+    fn apply_list_update(&mut self, update: &ListUpdate, actions: &mut Vec<Action>) {
+        let (list, full_list) = match update {
             ListUpdate::Failed => {
-                if self.ask_wait <= ASK_MS.0 {
-                    out.push(Action::Log("discovery failing, keeping the list held".to_string()));
+                if self.watch_retry_ms <= DISCOVERY_RETRY_MS.0 {
+                    actions.push(Action::Log("discovery failing; keeping the last list".to_string()));
                 }
-                (self.watching, self.asked) = (false, false);
-                self.ask_at = self.now + self.ask_wait * (0.5 + self.rng.f64());
-                self.ask_wait = (self.ask_wait * 2.0).min(ASK_MS.1);
+                (self.watching, self.watch_requested) = (false, false);
+                self.next_watch_at = self.now + self.watch_retry_ms * (0.5 + self.rng.f64());
+                self.watch_retry_ms = (self.watch_retry_ms * 2.0).min(DISCOVERY_RETRY_MS.1);
                 return;
             }
             ListUpdate::Full(list) => (list, true),
             ListUpdate::Cached(list) | ListUpdate::Delta(list) => (list, false),
         };
-        if self.asked && !matches!(news, ListUpdate::Cached(_)) {
-            (self.watching, self.ask_wait) = (true, ASK_MS.0);
+        if self.watch_requested && !matches!(update, ListUpdate::Cached(_)) {
+            (self.watching, self.watch_retry_ms) = (true, DISCOVERY_RETRY_MS.0);
         }
-        let (now, touched) = (self.now, &mut self.touched);
-        let mut touch = |id: &EndpointGroupId| {
-            touched.0.insert(id.clone());
-            touched.1.insert(id.0);
+        let (now, dirty) = (self.now, &mut self.dirty);
+        let mut mark_dirty = |id: &EndpointGroupId| {
+            dirty.0.insert(id.clone());
+            dirty.1.insert(id.0);
         };
-        let weights = self.s.weight_meaning != WeightMeaning::Ignored;
-        self.f.list(list, whole, weights, &self.s.own_limits, &mut || EndpointGroup::new(now), &mut touch);
-        // What a route apart was told to wait outlasts its place in the list.
-        self.f.sweep(list, whole, &mut touch, |l| l.wait_until <= now);
-        self.looked = None;
+        let weights_are_limits = self.settings.weight_meaning != WeightMeaning::Ignored;
+        self.fleet.apply_list(
+            list,
+            full_list,
+            weights_are_limits,
+            &self.settings.own_limits,
+            &mut || EndpointGroup::new(now),
+            &mut mark_dirty,
+        );
+        // A Retry-After of an endpoint with its own limit outlives the endpoint's place in the list.
+        self.fleet.remove_unlisted(list, full_list, &mut mark_dirty, |group| group.retry_after_until <= now);
+        self.cached_action = None;
     }
 
-    fn ask(&mut self, out: &mut Vec<Action>) {
-        if self.s.poll_discovery && !self.watching && !self.asked && self.now >= self.ask_at {
-            self.asked = true;
-            out.push(Action::Watch(true));
+    fn request_watch(&mut self, actions: &mut Vec<Action>) {
+        if self.settings.poll_discovery
+            && !self.watching
+            && !self.watch_requested
+            && self.now >= self.next_watch_at
+        {
+            self.watch_requested = true;
+            actions.push(Action::Watch(true));
         }
     }
 
-    // ---- release: Most Credit First
-
-    fn release(&mut self, out: &mut Vec<Action>) {
-        self.settle();
-        self.watch_overruns(out);
-        self.settle();
-        self.free_slots(out);
-        let mut again = TIES;
-        while self.calls.len() < self.s.slots {
-            self.settle();
-            if let Some((dest, host)) = self.probing.pop_first() {
-                self.probe(dest, host, out);
+    // ---- sending: Most Credit First
+
+    fn send_queued(&mut self, actions: &mut Vec<Action>) {
+        self.refresh_indexes();
+        self.open_on_overruns(actions);
+        self.refresh_indexes();
+        self.cancel_overdue_call(actions);
+        let mut tie_checks_left = MAX_TIE_CHECKS;
+        while self.calls.len() < self.settings.slots {
+            self.refresh_indexes();
+            if let Some((destination_id, endpoint)) = self.pending_probes.pop_first() {
+                self.start_probe(destination_id, endpoint, actions);
                 continue;
             }
-            let Some(dest) = self.credits.first() else { return };
-            // What could be sent when last looked at may have run out of time, or its gate have closed.
-            if self.looked.as_ref().is_none_or(|x| x.0 != dest) {
-                self.file(dest);
+            let Some(destination_id) = self.credits.first() else { return };
+            // What could be sent when last examined may have expired, or its group may no longer take a call.
+            if self.cached_action.as_ref().is_none_or(|x| x.0 != destination_id) {
+                self.reindex_destination(destination_id);
             }
-            // Nor need it be the first among equals any more.
-            if again > 0 && self.credits.first() != Some(dest) {
-                again -= 1;
+            // Nor does it have to be the first among equals any more.
+            if tie_checks_left > 0 && self.credits.first() != Some(destination_id) {
+                tie_checks_left -= 1;
                 continue;
             }
-            again = TIES;
-            let Some((_, Look::Send(id, host))) = self.looked.take() else { continue };
-            self.charge(dest);
-            self.send(id, &host, out);
-            // What else is held for that endpoint rides along where its kind takes batches.
-            while self.open.contains_key(&host) {
-                let Some(next) = self.best(dest, &host, false, false) else { break };
-                self.send(next, &host, out);
+            tie_checks_left = MAX_TIE_CHECKS;
+            let Some((_, NextAction::Send(id, endpoint))) = self.cached_action.take() else { continue };
+            self.charge_credit(destination_id);
+            self.start_attempt(id, &endpoint, actions);
+            // Further messages queued for that endpoint share the call where its kind takes batches.
+            while self.open_batches.contains_key(&endpoint) {
+                let Some(next) = self.best_message(destination_id, &endpoint, false, false) else { break };
+                self.start_attempt(next, &endpoint, actions);
             }
         }
     }
 
-    /// All backlogged queues gain, the one that is served pays.
-    fn charge(&mut self, dest: u64) {
-        let ((queues, means), short) = (self.backlogged, self.short());
-        let Some(d) = self.f.dests.get_mut(&dest) else { return };
-        // A lone request that goes straight out is no turn: it moves no credit.
-        if queues < 2 && d.held < 2 {
+    /// All backlogged queues gain credit, and the one that is served pays.
+    fn charge_credit(&mut self, destination_id: u64) {
+        let ((queues, total_slot_time_us), scarce) = (self.backlogged, self.slots_are_scarce());
+        let Some(destination) = self.fleet.destinations.get_mut(&destination_id) else { return };
+        // A single message that is sent at once takes no turn and changes no credit.
+        if queues < 2 && destination.queued < 2 {
             return;
         }
-        // While slots are short a turn costs its slot time: else slow destinations take most of them.
-        let mean = means as f64 / queues as f64;
-        let cost = if short { (d.mean_us as f64 / mean).powi(2).clamp(0.05, 8.0) } else { 1.0 };
-        // What is paid goes to those that may send: else the credit of all of them would fall to the cap
-        // while others wait for something else, and tell them apart no more.
-        let share = turns(cost) / self.credits.len().max(1) as i128;
-        d.base = self.credits.turn(d.base, share, turns(cost));
+        // While slots are scarce, a turn costs its slot time; otherwise slow destinations would take most of
+        // the slots.
+        let mean_slot_time_us = total_slot_time_us as f64 / queues as f64;
+        let cost = if scarce {
+            (destination.slot_time_us as f64 / mean_slot_time_us).powi(2).clamp(0.05, 8.0)
+        } else {
+            1.0
+        };
+        // The cost is distributed among the queues that may send. Otherwise their credits would all fall to
+        // the cap while other queues wait for something else, and could not be told apart.
+        let share = credit_units(cost) / self.credits.len().max(1) as i128;
+        destination.credit_base = self.credits.charge(destination.credit_base, share, credit_units(cost));
     }
 
-    /// The requests of a destination go first in, first out, unless the hold is so long that some would lose
-    /// worth by going last; then what loses most goes first. Gives the foremost that may go to an endpoint
-    /// now; `spare`: of those that have nothing to lose by it, safe to repeat or perhaps run already.
-    fn best(&self, dest: u64, host: &Name, trial: bool, spare: bool) -> Option<u64> {
-        let (d, h) = (self.f.dests.get(&dest)?, self.f.hosts.get(host)?);
-        let group = self.f.groups.get(&h.group);
-        let latency = self.f.groups_of(dest).filter_map(|(_, l)| l.latency).map(|l| l.0);
-        let soon = self.now + latency.fold(0.0, f64::max);
-        let last = soon + self.drain_ms(dest, d.held);
+    /// Returns the first message of a destination that may go to an endpoint now. Messages go first in, first
+    /// out, unless the queue is so long that some would lose value by going last; then the one that loses
+    /// most goes first. `only_expendable` limits this to messages that have nothing to lose: safe to repeat,
+    /// or perhaps run already.
+    fn best_message(
+        &self, destination_id: u64, endpoint: &Name, trial: bool, only_expendable: bool,
+    ) -> Option<u64> {
+        let (destination, host) =
+            (self.fleet.destinations.get(&destination_id)?, self.fleet.hosts.get(endpoint)?);
+        let group = self.fleet.groups.get(&host.group);
+        let latency = self
+            .fleet
+            .groups_of(destination_id)
+            .filter_map(|(_, group)| group.latency)
+            .map(|latency| latency.0);
+        let earliest_delivery = self.now + latency.fold(0.0, f64::max);
+        let latest_delivery = earliest_delivery + self.drain_ms(destination_id, destination.queued);
         let mut best: Option<(f64, u64, u64)> = None;
-        for (g, sub_queue) in &d.sub_queues {
+        for (key, sub_queue) in &destination.sub_queues {
             step();
-            let c = &self.s.classes[g.class];
-            if !self.dedup_scope_fits(g, host, h) || (spare && g.first.is_none() && c.effect != Effect::Safe)
+            let class = &self.settings.classes[key.class];
+            if !self.dedup_scope_fits(key, endpoint, host)
+                || (only_expendable && key.first_endpoint.is_none() && class.effect != Effect::Safe)
             {
                 continue;
             }
-            let (mut low, mut high) = (self.now.next_up(), f64::MAX);
-            // A trial without the time for an answer shows nothing, and would count as failed.
+            let (mut min_due, mut max_due) = (self.now.next_up(), f64::MAX);
+            // A trial without time for an answer shows nothing, and would count as failed.
             if trial {
-                low = low.max(self.now + group.and_then(|l| l.latency).map_or(0.0, |(mean, dev)| mean + dev));
+                min_due = min_due.max(
+                    self.now
+                        + group
+                            .and_then(|group| group.latency)
+                            .map_or(0.0, |(mean, deviation)| mean + deviation),
+                );
             }
-            // An unsafe request is lost by any failure that may have run: it waits for a lane that works.
-            if c.effect == Effect::Unsafe && (trial || group.is_some_and(|l| l.share > 0.3)) {
-                high = self.now + c.aim_ms;
+            // An unsafe message is lost by any failure after which it may have run, so it waits for a group
+            // that works.
+            if class.effect == Effect::Unsafe
+                && (trial || group.is_some_and(|group| group.failure_share > 0.3))
+            {
+                max_due = self.now + class.aim_ms;
             }
-            // What is out when the process ends may have run, for all that anyone will know.
+            // Nobody can tell afterwards whether a call ran that was in flight when the process ended.
             if let Some(stop) = self.stop_at {
-                let ends = time_out(self.now, group?, c, f64::MAX).map_or(f64::MAX, |ms| self.now + ms);
-                high = if ends > stop { high.min(stop) } else { high };
+                let ends_at =
+                    attempt_timeout(self.now, group?, class, f64::MAX).map_or(f64::MAX, |ms| self.now + ms);
+                max_due = if ends_at > stop { max_due.min(stop) } else { max_due };
             }
-            let share = self.in_share(g.tenant);
-            let marks = marks(self.s.value_decay, c, [soon, last]);
-            sub_queue.ends(low, high, &marks, &mut |queued_message| {
-                // A keyed one whose window is over, and which is not answered yet, is not sent any more.
-                let over = |m: &Msg| self.now >= self.last_send(m);
-                if g.first.is_some() && self.msgs.get(&queued_message.id).is_none_or(over) {
+            let share = self.share_factor(key.tenant);
+            let breakpoints =
+                value_breakpoints(self.settings.value_decay, class, [earliest_delivery, latest_delivery]);
+            sub_queue.visit_candidates(min_due, max_due, &breakpoints, &mut |queued_message| {
+                // A keyed message whose window has closed, and which has no final answer yet, is not sent any
+                // more.
+                let window_closed = |message: &Message| self.now >= self.send_deadline(message);
+                if key.first_endpoint.is_some()
+                    && self.messages.get(&queued_message.id).is_none_or(window_closed)
+                {
                     return;
                 }
-                let (lone, due) = (d.held == 1, queued_message.due.get());
-                // In whole steps: what loses the same but for rounding goes in the order of arrival.
+                let (only_message, due) = (destination.queued == 1, queued_message.due.get());
+                // Losses are rounded to whole steps, so that messages with equal losses but for rounding go
+                // in the order of arrival.
                 let loss = || {
-                    self.value(c, &queued_message, soon, share) - self.value(c, &queued_message, last, share)
+                    self.value(class, &queued_message, earliest_delivery, share)
+                        - self.value(class, &queued_message, latest_delivery, share)
                 };
-                let urgent = (g.untried && (soon..last).contains(&due)).then_some(URGENT - due);
-                let loss = urgent.unwrap_or_else(|| if lone { 0.0 } else { (loss() * LOSS_STEPS).round() });
-                if best.is_none_or(|b| loss > b.0 || (loss == b.0 && queued_message.seq < b.1)) {
+                let urgent = (key.untried && (earliest_delivery..latest_delivery).contains(&due))
+                    .then_some(UNTRIED_LOSS - due);
+                let loss = urgent.unwrap_or_else(|| {
+                    if only_message {
+                        0.0
+                    } else {
+                        (loss() * LOSS_STEPS_PER_VALUE).round()
+                    }
+                });
+                if best.is_none_or(|current| {
+                    loss > current.0 || (loss == current.0 && queued_message.seq < current.1)
+                }) {
                     best = Some((loss, queued_message.seq, queued_message.id));
                 }
             });
         }
-        best.map(|b| b.2)
+        best.map(|current| current.2)
     }
 
-    /// The endpoints of a destination that may be tried, the best first, and whether as a trial.
-    fn choices(&self, dest: u64) -> Vec<(Name, bool)> {
+    /// Returns the endpoints of a destination that may take a call, the best first, and whether the call is a
+    /// trial.
+    fn candidate_endpoints(&self, destination_id: u64) -> Vec<(Name, bool)> {
         let mut found = Vec::new();
-        for (name, h) in self.f.hosts_of(dest).filter(|x| x.1.status == EndpointStatus::Active) {
-            if self.gate(&h.group) > self.now {
+        for (name, host) in
+            self.fleet.hosts_of(destination_id).filter(|x| x.1.status == EndpointStatus::Active)
+        {
+            if self.call_allowed_at(&host.group) > self.now {
                 continue;
             }
-            let trial = self.f.groups.get(&h.group).is_some_and(|l| l.phase == BreakerState::Open);
-            let fresh = self.now - h.used_at < self.s.conn_idle_ms;
-            let idle = fresh && h.out < h.conns * self.s.conn_streams;
-            let fee = self.s.route_fee.get(h.zone as usize).filter(|_| !h.group.1.is_empty());
-            let cost = if h.zone == self.s.zone { 0.0 } else { self.s.cross_zone_cost }
-                + if idle { 0.0 } else { self.s.handshake_cost }
+            let trial =
+                self.fleet.groups.get(&host.group).is_some_and(|group| group.breaker == BreakerState::Open);
+            let recently_used = self.now - host.last_used_at < self.settings.conn_idle_ms;
+            let has_idle_connection =
+                recently_used && host.calls_in_flight < host.connections * self.settings.conn_streams;
+            let fee = self.settings.route_fee.get(host.zone as usize).filter(|_| !host.group.1.is_empty());
+            let cost = if host.zone == self.settings.zone { 0.0 } else { self.settings.cross_zone_cost }
+                + if has_idle_connection { 0.0 } else { self.settings.handshake_cost }
                 + fee.unwrap_or(&0.0);
-            let load = h.out as f64 * 0.02;
-            // Among equals each relay has its own order: in that of names all would crowd the first.
-            let rank = (h.out, spread(self.salt, name));
-            found.push((h.shun_until > self.now, cost + load, rank, name, trial));
+            let load = host.calls_in_flight as f64 * 0.02;
+            // Among equals each relay has its own order: by name, all relays would crowd the first endpoint.
+            let rank = (host.calls_in_flight, salted_hash(self.salt, name));
+            found.push((host.avoid_until > self.now, cost + load, rank, name, trial));
         }
         found.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)).then(a.3.cmp(b.3)));
         found.into_iter().map(|f| (f.3.clone(), f.4)).collect()
     }
 
-    /// What a destination would send next, if it may send and a slot is free.
-    pub(crate) fn look(&self, dest: u64) -> Look {
-        let Some(d) = self.f.dests.get(&dest).filter(|d| d.held > 0) else { return Look::Nothing };
-        if d.out >= self.ceiling(dest) {
-            return Look::Nothing;
+    /// Returns what a destination would send next, provided that it may send and a slot is free.
+    pub(crate) fn next_action(&self, destination_id: u64) -> NextAction {
+        let Some(destination) = self.fleet.destinations.get(&destination_id).filter(|d| d.queued > 0) else {
+            return NextAction::Nothing;
+        };
+        if destination.calls_in_flight >= self.slot_limit(destination_id) {
+            return NextAction::Nothing;
         }
-        for (host, trial) in self.choices(dest) {
-            // A trial spends what has nothing to lose by it: what is worth most of what is safe to repeat or
-            // may have run already, else a probe where the site takes probes, else anything.
-            if let Some(id) = self.best(dest, &host, trial, trial) {
-                return Look::Send(id, host);
+        for (endpoint, trial) in self.candidate_endpoints(destination_id) {
+            // A trial carries a message that has nothing to lose, the one of most value among those that are
+            // safe to repeat or may have run already. If there is none, a probe goes out where probes are
+            // allowed, else any message.
+            if let Some(id) = self.best_message(destination_id, &endpoint, trial, trial) {
+                return NextAction::Send(id, endpoint);
             }
-            let group = self.f.hosts.get(&host).and_then(|h| self.f.groups.get(&h.group)).filter(|_| trial);
+            let group = self
+                .fleet
+                .hosts
+                .get(&endpoint)
+                .and_then(|host| self.fleet.groups.get(&host.group))
+                .filter(|_| trial);
             let Some(group) = group else { continue };
-            if self.s.may_probe && !group.probe_good {
-                return Look::Probe(host);
+            if self.settings.may_probe && !group.probe_succeeded {
+                return NextAction::Probe(endpoint);
             }
-            if let Some(id) = self.best(dest, &host, true, false) {
-                return Look::Send(id, host);
+            if let Some(id) = self.best_message(destination_id, &endpoint, true, false) {
+                return NextAction::Send(id, endpoint);
             }
         }
-        Look::Nothing
+        NextAction::Nothing
     }
 
-    /// When a destination that may send nothing now may do so by time alone.
-    pub(crate) fn next_open(&self, dest: u64) -> Option<f64> {
-        let d = self.f.dests.get(&dest).filter(|d| d.held > 0)?;
+    /// Returns when a destination that may send nothing now may do so by time alone.
+    pub(crate) fn next_sendable_at(&self, destination_id: u64) -> Option<f64> {
+        let destination =
+            self.fleet.destinations.get(&destination_id).filter(|destination| destination.queued > 0)?;
         let mut next = f64::MAX;
         let mut at = |t: f64| next = if t > self.now { next.min(t) } else { next };
-        for (_, h) in self.f.hosts_of(dest).filter(|x| x.1.status == EndpointStatus::Active) {
-            let gate = self.gate(&h.group);
-            let warms =
-                self.f.groups.get(&h.group).is_some_and(|l| matches!(l.phase, BreakerState::SlowStart(_)));
-            // What a lane bears grows while it warms, and opens its gate sooner than now reckoned.
-            at(if warms { gate.min(self.now + RAMP_MS) } else { gate });
+        for (_, host) in self.fleet.hosts_of(destination_id).filter(|x| x.1.status == EndpointStatus::Active)
+        {
+            let allowed_at = self.call_allowed_at(&host.group);
+            let slow_start = self
+                .fleet
+                .groups
+                .get(&host.group)
+                .is_some_and(|group| matches!(group.breaker, BreakerState::SlowStart(_)));
+            // The capacity of a group grows during slow start, so it may take a call sooner than computed
+            // now.
+            at(if slow_start { allowed_at.min(self.now + SLOW_START_RECHECK_MS) } else { allowed_at });
         }
-        // What is unsafe goes to a lane that fails once it would else be late.
-        for (g, sub_queue) in &d.sub_queues {
-            let c = &self.s.classes[g.class];
-            let first =
-                sub_queue.from((self.now + c.aim_ms).next_up()).filter(|_| c.effect == Effect::Unsafe);
-            first.into_iter().for_each(|m| at(m.due.get() - c.aim_ms));
+        // An unsafe message goes to a failing group when it would otherwise be late.
+        for (key, sub_queue) in &destination.sub_queues {
+            let class = &self.settings.classes[key.class];
+            let first = sub_queue
+                .first_due_from((self.now + class.aim_ms).next_up())
+                .filter(|_| class.effect == Effect::Unsafe);
+            first.into_iter().for_each(|message| at(message.due.get() - class.aim_ms));
         }
         Some(next).filter(|t| *t < f64::MAX)
     }
 
-    /// Until when there is time for an answer to a request that would go out as a trial; after that, a probe.
-    pub(crate) fn trial_ends(&self, id: u64, host: &Name) -> Option<f64> {
-        let l = self.f.hosts.get(host).and_then(|h| self.f.groups.get(&h.group));
-        let (mean, dev) = l.filter(|l| self.s.may_probe && l.phase == BreakerState::Open)?.latency?;
-        self.msgs.get(&id).map(|m| (m.due - mean - dev).next_up())
+    /// Returns until when an answer to a message sent as a trial would come in time; after that, a probe is
+    /// sent instead.
+    pub(crate) fn trial_deadline(&self, id: u64, endpoint: &Name) -> Option<f64> {
+        let group = self.fleet.hosts.get(endpoint).and_then(|host| self.fleet.groups.get(&host.group));
+        let (mean, deviation) =
+            group.filter(|group| self.settings.may_probe && group.breaker == BreakerState::Open)?.latency?;
+        self.messages.get(&id).map(|message| (message.due - mean - deviation).next_up())
     }
 
-    fn probe(&mut self, dest: u64, host: Name, out: &mut Vec<Action>) {
+    fn start_probe(&mut self, destination_id: u64, endpoint: Name, actions: &mut Vec<Action>) {
         let now = self.now;
-        self.touch(dest);
-        if !matches!(self.look(dest), Look::Probe(now) if now == host) {
+        self.mark_dirty(destination_id);
+        if !matches!(self.next_action(destination_id), NextAction::Probe(now) if now == endpoint) {
             return;
         }
-        let Some(id) = self.f.hosts.get(&host).map(|h| h.group.clone()) else { return };
-        let Some(l) = self.f.groups.get_mut(&id) else { return };
-        l.trial_out = true;
-        l.sent.add(now, 1.0, now - self.s.fall_ms.max(self.s.warm_after_ms));
-        out.push(Action::Probe { endpoint: host.to_string() });
-        self.probes.insert(host, id);
+        let Some(id) = self.fleet.hosts.get(&endpoint).map(|host| host.group.clone()) else { return };
+        let Some(group) = self.fleet.groups.get_mut(&id) else { return };
+        group.trial_in_flight = true;
+        group.recent_sends.add(now, 1.0, now - self.settings.fall_ms.max(self.settings.warm_after_ms));
+        actions.push(Action::Probe { endpoint: endpoint.to_string() });
+        self.probes_in_flight.insert(endpoint, id);
     }
 
-    fn send(&mut self, id: u64, host: &Name, out: &mut Vec<Action>) {
+    fn start_attempt(&mut self, id: u64, endpoint: &Name, actions: &mut Vec<Action>) {
         let now = self.now;
-        let (Some(h), Some(m)) = (self.f.hosts.get(host), self.msgs.get(&id)) else { return };
-        let (group_id, begin_by) = (h.group.clone(), self.last_send(m));
-        let c = &self.s.classes[m.class];
-        let fragile = c.effect == Effect::Unsafe;
-        let Some(l) = self.f.groups.get_mut(&group_id) else { return };
-        let trial = l.phase == BreakerState::Open;
-        let batch = self.s.batch.get(h.kind).copied().unwrap_or(1).max(1);
-        let timeout_ms = time_out(now, l, c, m.due);
-        let first = now - self.s.fall_ms.max(self.s.warm_after_ms);
-        let joined = match self.open.get_mut(host) {
-            Some((call, room)) => {
-                *room -= 1;
+        let (Some(host), Some(message)) = (self.fleet.hosts.get(endpoint), self.messages.get(&id)) else {
+            return;
+        };
+        let (group_id, begin_by) = (host.group.clone(), self.send_deadline(message));
+        let class = &self.settings.classes[message.class];
+        let carries_unsafe = class.effect == Effect::Unsafe;
+        let Some(group) = self.fleet.groups.get_mut(&group_id) else { return };
+        let trial = group.breaker == BreakerState::Open;
+        let batch = self.settings.batch.get(host.kind).copied().unwrap_or(1).max(1);
+        let timeout_ms = attempt_timeout(now, group, class, message.due);
+        let first = now - self.settings.fall_ms.max(self.settings.warm_after_ms);
+        let call_id = match self.open_batches.get_mut(endpoint) {
+            Some((call, remaining)) => {
+                *remaining -= 1;
                 let call = *call;
-                self.open.retain(|_, x| x.1 > 0);
-                l.sent.add(now, 0.25, first);
+                self.open_batches.retain(|_, x| x.1 > 0);
+                group.recent_sends.add(now, 0.25, first);
                 call
             }
             None => {
                 self.seq += 1;
-                let kind = Kind { host: host.clone(), aim: At::new(c.aim_ms), trial, fragile };
-                l.calls.put(kind.clone(), now, self.seq);
-                let group = group_id.clone();
-                let call =
-                    Call { group, kind, sent: now, riders: Vec::new(), counted: false, called_off: false };
+                let kind = CallKind {
+                    endpoint: endpoint.clone(),
+                    aim_ms: OrderedF64::new(class.aim_ms),
+                    trial,
+                    carries_unsafe,
+                };
+                group.calls.insert(kind.clone(), now, self.seq);
+                let call_group = group_id.clone();
+                let call = Call {
+                    group: call_group,
+                    kind,
+                    sent_at: now,
+                    message_ids: Vec::new(),
+                    outcome_counted: false,
+                    cancelled: false,
+                };
                 self.calls.insert(self.seq, call);
                 if batch > 1 && !trial {
-                    self.open.insert(host.clone(), (self.seq, batch - 1));
+                    self.open_batches.insert(endpoint.clone(), (self.seq, batch - 1));
                 }
-                l.refill(now);
-                l.tokens -= 1.0;
-                l.sent.add(now, 1.0, first);
-                l.trial_out |= trial;
-                if let Some(h) = self.f.hosts.get_mut(host) {
-                    h.begin(now, self.s.conn_idle_ms, self.s.conn_streams);
+                group.refill(now);
+                group.tokens -= 1.0;
+                group.recent_sends.add(now, 1.0, first);
+                group.trial_in_flight |= trial;
+                if let Some(host) = self.fleet.hosts.get_mut(endpoint) {
+                    host.begin_call(now, self.settings.conn_idle_ms, self.settings.conn_streams);
                 }
-                self.f.dests.get_mut(&group_id.0).into_iter().for_each(|d| d.out += 1);
+                self.fleet
+                    .destinations
+                    .get_mut(&group_id.0)
+                    .into_iter()
+                    .for_each(|destination| destination.calls_in_flight += 1);
                 self.seq
             }
         };
-        if let Some(call) = self.calls.get_mut(&joined) {
-            call.riders.push(id);
-            if fragile && !call.kind.fragile {
-                let l = self.f.groups.get_mut(&group_id);
-                let old = std::mem::replace(&mut call.kind.fragile, true);
-                let kind = Kind { fragile: old, ..call.kind.clone() };
-                l.into_iter().for_each(|l| {
-                    l.calls.take(&kind, now, joined);
-                    l.calls.put(call.kind.clone(), now, joined);
+        if let Some(call) = self.calls.get_mut(&call_id) {
+            call.message_ids.push(id);
+            if carries_unsafe && !call.kind.carries_unsafe {
+                let group = self.fleet.groups.get_mut(&group_id);
+                let had_unsafe = std::mem::replace(&mut call.kind.carries_unsafe, true);
+                let kind = CallKind { carries_unsafe: had_unsafe, ..call.kind.clone() };
+                group.into_iter().for_each(|group| {
+                    group.calls.remove(&kind, now, call_id);
+                    group.calls.insert(call.kind.clone(), now, call_id);
                 });
             }
         }
-        self.touch_group(&group_id);
-        self.unhold(id);
-        if let Some(m) = self.msgs.get_mut(&id) {
-            m.flying.push((m.tries, joined));
-            m.tries += 1;
+        self.mark_group_dirty(&group_id);
+        self.dequeue(id);
+        if let Some(message) = self.messages.get_mut(&id) {
+            message.in_flight.push((message.attempts, call_id));
+            message.attempts += 1;
         }
-        out.push(Action::Send { id, endpoint: host.to_string(), timeout_ms, begin_by });
+        actions.push(Action::Send { id, endpoint: endpoint.to_string(), timeout_ms, begin_by });
     }
 
-    /// A lane whose calls outrun their latency, with nothing delivered since they were sent, hangs or is
-    /// silent: it is shut before the time-outs say so, so that the hold is not spent on it.
-    fn watch_overruns(&mut self, out: &mut Vec<Action>) {
-        let due = self.late.iter().take_while(|x| x.0.get() <= self.now).map(|x| x.1.clone());
+    /// Opens the breaker of a group whose calls overrun their expected latency with nothing delivered since
+    /// they were sent: it hangs or is silent. This happens before the time-outs show it, so that no more
+    /// queued messages are spent on it.
+    fn open_on_overruns(&mut self, actions: &mut Vec<Action>) {
+        let due = self.overrun_checks.iter().take_while(|x| x.0.get() <= self.now).map(|x| x.1.clone());
         let mut due: Vec<EndpointGroupId> = due.collect();
         due.sort_unstable();
         for id in due {
-            let Some(l) = self.f.groups.get(&id) else { continue };
-            let late = l.calls.after(l.good_at, 2).filter(|x| !x.0.trial);
-            let late =
-                late.filter(|(kind, sent, _)| self.now - sent > 1.5 * l.overrun(kind.aim.get())).count();
-            let fails = l.fails;
-            if l.phase != BreakerState::Open && late > 0 && late as u32 + fails >= 2 {
-                self.shut(&id, "no answers", None, out);
-                self.f.groups.get_mut(&id).into_iter().for_each(|l| l.unproved = fails == 0);
-                self.touch_group(&id);
+            let Some(group) = self.fleet.groups.get(&id) else { continue };
+            let late = group.calls.after(group.last_delivery_at, 2).filter(|x| !x.0.trial);
+            let late = late
+                .filter(|(kind, sent, _)| self.now - sent > 1.5 * group.overrun_ms(kind.aim_ms.get()))
+                .count();
+            let failures = group.consecutive_failures;
+            if group.breaker != BreakerState::Open && late > 0 && late as u32 + failures >= 2 {
+                self.open_breaker(&id, "no answers", None, actions);
+                self.fleet
+                    .groups
+                    .get_mut(&id)
+                    .into_iter()
+                    .for_each(|group| group.opened_on_overrun = failures == 0);
+                self.mark_group_dirty(&id);
             }
         }
     }
 
-    /// When [`Relay::watch_overruns`] would shut the lane.
-    pub(crate) fn late_at(&self, l: &EndpointGroup) -> Option<f64> {
-        let calls = l.calls.after(l.good_at, 2).filter(|x| !x.0.trial);
-        let mut late: Vec<f64> =
-            calls.map(|(kind, sent, _)| sent + 1.5 * l.overrun(kind.aim.get())).collect();
-        late.sort_unstable_by(f64::total_cmp);
-        late.get(usize::from(l.fails == 0)).copied().filter(|_| l.phase != BreakerState::Open)
+    /// Returns when [`Relay::open_on_overruns`] would open the group's breaker.
+    pub(crate) fn overrun_at(&self, group: &EndpointGroup) -> Option<f64> {
+        let calls = group.calls.after(group.last_delivery_at, 2).filter(|x| !x.0.trial);
+        let mut overruns: Vec<f64> =
+            calls.map(|(kind, sent, _)| sent + 1.5 * group.overrun_ms(kind.aim_ms.get())).collect();
+        overruns.sort_unstable_by(f64::total_cmp);
+        overruns
+            .get(usize::from(group.consecutive_failures == 0))
+            .copied()
+            .filter(|_| group.breaker != BreakerState::Open)
     }
 
-    /// Slots held by calls that outran their latency are worth less than slots for queues that can send: with
-    /// none free and such a queue waiting, the call whose time was up first is called off. Without this, two
-    /// hung destinations at their ceiling stop the whole relay. An unsafe one is lost by it: it gets more.
-    fn free_slots(&mut self, out: &mut Vec<Action>) {
-        if !self.s.may_cancel || self.called_off > 0 {
+    /// Cancels a call that overran its expected latency when no slot is free and a queue could send: the slot
+    /// is worth more to that queue. The call whose time was up first is cancelled. Without this, two hung
+    /// destinations at their slot limits stop the whole relay. A call with an unsafe message gets more time,
+    /// since cancelling loses the message.
+    fn cancel_overdue_call(&mut self, actions: &mut Vec<Action>) {
+        if !self.settings.may_cancel || self.cancelled_calls > 0 {
             return;
         }
-        let all = self.calls.len() >= self.s.slots;
-        let first = self.overdue.first().filter(|x| all && x.0 .0.get() < self.now).map(|x| x.0 .1);
-        let first = first.filter(|_| self.waits());
-        let Some(call_id) = first.or_else(|| self.lost_at_ceiling()) else { return };
+        let no_slot_free = self.calls.len() >= self.settings.slots;
+        let first =
+            self.overdue_calls.first().filter(|x| no_slot_free && x.0 .0.get() < self.now).map(|x| x.0 .1);
+        let first = first.filter(|_| self.queue_is_waiting());
+        let Some(call_id) = first.or_else(|| self.lost_call_at_slot_limit()) else { return };
         let Some(call) = self.calls.get_mut(&call_id) else { return };
-        call.called_off = true;
-        let mut riders = call.riders.clone();
-        riders.sort_unstable();
-        self.called_off += 1;
-        for id in riders {
-            let flying = self.msgs.get(&id).into_iter().flat_map(|m| &m.flying);
-            let off = flying.filter(|f| f.1 == call_id);
-            out.extend(off.map(|f| Action::Cancel { id, attempt: f.0 }));
+        call.cancelled = true;
+        let mut message_ids = call.message_ids.clone();
