+        message_ids.sort_unstable();
+        self.cancelled_calls += 1;
+        for id in message_ids {
+            let in_flight = self.messages.get(&id).into_iter().flat_map(|message| &message.in_flight);
+            let attempts = in_flight.filter(|f| f.1 == call_id);
+            actions.extend(attempts.map(|f| Action::Cancel { id, attempt: f.0 }));
         }
     }
 
-    /// A call beyond its latency whose lane has delivered since it was sent is lost, not slow: it must not
-    /// hold one of the few slots that a sick destination has while more waits for these.
-    fn lost_at_ceiling(&self) -> Option<u64> {
-        let due = self.overdue.iter().take_while(|x| x.0 .0.get() < self.now).take(OVERDUE);
-        let lost = due.filter(|((_, call), group)| {
-            // An unsafe message is lost by it.
-            let Some(c) = self.calls.get(call).filter(|c| !c.kind.fragile) else { return false };
-            let full = |d: &Destination| d.held > 0 && d.out >= self.ceiling(group.0);
-            let lost = |l: &EndpointGroup| {
-                self.now - c.sent > LOST * l.overrun(c.kind.aim.get()) && l.good_at > c.sent
+    /// Returns a call beyond its expected latency whose group has delivered since the call was sent. Such a
+    /// call is lost, not slow, and must not hold one of the few slots of a degraded destination that has more
+    /// queued.
+    fn lost_call_at_slot_limit(&self) -> Option<u64> {
+        let due = self.overdue_calls.iter().take_while(|x| x.0 .0.get() < self.now).take(MAX_OVERDUE_SCAN);
+        let lost = due.filter(|((_, call), group_id)| {
+            // Cancelling would lose an unsafe message.
+            let Some(call) = self.calls.get(call).filter(|c| !c.kind.carries_unsafe) else { return false };
+            let full = |destination: &Destination| {
+                destination.queued > 0 && destination.calls_in_flight >= self.slot_limit(group_id.0)
+            };
+            let lost = |group: &EndpointGroup| {
+                self.now - call.sent_at > LOST_CALL_OVERRUNS * group.overrun_ms(call.kind.aim_ms.get())
+                    && group.last_delivery_at > call.sent_at
             };
-            self.f.groups.get(group).is_some_and(lost) && self.f.dests.get(&group.0).is_some_and(full)
+            self.fleet.groups.get(group_id).is_some_and(lost)
+                && self.fleet.destinations.get(&group_id.0).is_some_and(full)
         });
         lost.map(|x| x.0 .1).next()
     }
 
-    /// When the first of a lane's calls is given no more time, and which.
-    pub(crate) fn overdue_at(&self, l: &EndpointGroup) -> Option<(f64, u64)> {
-        // Also of a lane that delivers: where connections fall silent, its lost calls would fill the slots.
-        let ends = l.calls.oldest().map(|(kind, sent, call)| {
-            let patience = if kind.fragile { 3.0 } else { 1.0 };
-            (sent + patience * l.overrun(kind.aim.get()), call)
+    /// Returns when the first of a group's calls may be cancelled, and which call that is.
+    pub(crate) fn overdue_at(&self, group: &EndpointGroup) -> Option<(f64, u64)> {
+        // This includes groups that deliver: where connections fall silent, their lost calls would fill the
+        // slots.
+        let ends = group.calls.oldest().map(|(kind, sent, call)| {
+            let factor = if kind.carries_unsafe { 3.0 } else { 1.0 };
+            (sent + factor * group.overrun_ms(kind.aim_ms.get()), call)
         });
         ends.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)))
     }
 
     /// Whether a queue would send if a slot were free.
-    fn waits(&mut self) -> bool {
-        while let Some(dest) = self.credits.first().filter(|_| self.probing.is_empty()) {
-            self.file(dest);
-            if matches!(self.looked, Some((_, Look::Send(..)))) {
+    fn queue_is_waiting(&mut self) -> bool {
+        while let Some(destination_id) = self.credits.first().filter(|_| self.pending_probes.is_empty()) {
+            self.reindex_destination(destination_id);
+            if matches!(self.cached_action, Some((_, NextAction::Send(..)))) {
                 return true;
             }
         }
-        !self.probing.is_empty()
+        !self.pending_probes.is_empty()
     }
 
-    // ---- ends of time
+    // ---- expiry
 
-    /// How long before its end a held request is given up: two rounds, and the time that it takes to answer
-    /// all that could end with it, as one round answers only so many.
-    fn horizon(&self) -> f64 {
-        2.0 * self.s.tick_ms + (self.ends.len() / ENDS.0) as f64 * ENDS.1
+    /// Returns how long before its end a queued message is given up: two rounds, and the time to answer all
+    /// messages that could end with it, as one round answers only a bounded number.
+    fn expiry_lead_ms(&self) -> f64 {
+        2.0 * self.settings.tick_ms + (self.expiries.len() / EXPIRY_ROUND.0) as f64 * EXPIRY_ROUND.1
     }
 
-    fn expire(&mut self, out: &mut Vec<Action>) {
-        let end = self.now + self.horizon();
-        let due = std::iter::from_fn(|| self.ends.pop_due(end)).take(ENDS.0).collect::<Vec<_>>();
-        let place = |id: &u64| self.msgs.get(id).map_or((0, 0), |m| (m.dest, m.seq));
-        let mut due: Vec<_> = due.iter().map(|id| (place(id), *id)).collect();
+    fn expire_queued(&mut self, actions: &mut Vec<Action>) {
+        let end = self.now + self.expiry_lead_ms();
+        let due = std::iter::from_fn(|| self.expiries.pop_due(end)).take(EXPIRY_ROUND.0).collect::<Vec<_>>();
+        let arrival =
+            |id: &u64| self.messages.get(id).map_or((0, 0), |message| (message.destination_id, message.seq));
+        let mut due: Vec<_> = due.iter().map(|id| (arrival(id), *id)).collect();
         due.sort_unstable();
-        due.into_iter().for_each(|(_, id)| self.give_up(id, out));
+        due.into_iter().for_each(|(_, id)| self.give_up(id, actions));
     }
 
-    /// Sets one timer, for the next moment at which time alone changes something.
-    fn arm(&mut self, out: &mut Vec<Action>) {
+    /// Sets one timer for the next moment at which time alone changes something.
+    fn arm_timer(&mut self, actions: &mut Vec<Action>) {
         let mut next = f64::MAX;
-        // No nearer than a coarse clock rounds to: it would come at the same moment forever.
-        let soonest = self.now + LEAST_TIMER;
+        // Not closer than the rounding of a coarse clock: such a timer would fire at the same moment forever.
+        let soonest = self.now + MIN_TIMER_MS;
         let mut at = |t: f64| next = if t > self.now { next.min(t.max(soonest)) } else { next };
-        if self.ends.len() > 0 {
-            at((self.ends.next() - self.horizon()).max(self.now + 1.0));
+        if self.expiries.len() > 0 {
+            at((self.expiries.next_time() - self.expiry_lead_ms()).max(self.now + 1.0));
         }
-        at(self.resting.next());
-        at(self.wakes.next());
-        at(self.late.next() + 1.0);
-        if self.called_off == 0 && self.backlogged.0 > 0 {
-            let soon = self.overdue.iter().take(OVERDUE).map(|x| x.0 .0.get() + 1.0);
+        at(self.blocked.next_time());
+        at(self.wake_times.next_time());
+        at(self.overrun_checks.next_time() + 1.0);
+        if self.cancelled_calls == 0 && self.backlogged.0 > 0 {
+            let soon = self.overdue_calls.iter().take(MAX_OVERDUE_SCAN).map(|x| x.0 .0.get() + 1.0);
             soon.filter(|t| *t > self.now).take(1).for_each(&mut at);
         }
-        if self.s.poll_discovery && !self.watching && !self.asked {
-            at(self.ask_at);
+        if self.settings.poll_discovery && !self.watching && !self.watch_requested {
+            at(self.next_watch_at);
         }
-        if next < self.armed {
-            self.armed = next;
-            out.push(Action::Timer { at: next, token: 0 });
+        if next < self.armed_timer_at {
+            self.armed_timer_at = next;
+            actions.push(Action::Timer { at: next, token: 0 });
         }
     }
 }
--- a/crates/linenhall/src/upkeep.rs
+++ b/crates/linenhall/src/upkeep.rs
@@ -1,201 +1,235 @@
-//! Keeps the module's indexes as what happens changes things: what changed is marked, looked at again before the round
-//! ends, and put where release will find it. What is decided about it is `logic`'s.
+//! Keeps the indexes of the decision module up to date. What an event changes is marked dirty, examined again
+//! before the round ends, and filed where sending finds it. `logic` makes the decisions about it.
 
 use crate::fleet::SubQueueKey;
 use crate::fleet::{BreakerState, Destination, EndpointGroup, EndpointGroupId, Name};
-use crate::index::At;
+use crate::index::OrderedF64;
 use crate::interface::{Effect, Event};
 use crate::logic::Relay;
-use crate::state::{queued_message, Look, Msg};
+use crate::state::{queued_message, Message, NextAction};
 
-/// A destination that may not be forgotten.
+/// The destination can't be forgotten.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InUse;
 
 impl Relay {
-    pub(crate) fn touch(&mut self, dest: u64) {
-        self.touched.1.insert(dest);
-        if self.weighing {
-            self.unweighed.insert(dest);
+    /// Marks a destination as changed.
+    pub(crate) fn mark_dirty(&mut self, destination_id: u64) {
+        self.dirty.1.insert(destination_id);
+        if self.tracks_value_rates {
+            self.stale_value_rates.insert(destination_id);
         }
-        self.looked = self.looked.take().filter(|x| x.0 != dest);
+        self.cached_action = self.cached_action.take().filter(|x| x.0 != destination_id);
     }
 
-    pub(crate) fn touch_group(&mut self, id: &EndpointGroupId) {
-        self.touched.0.insert(id.clone());
-        self.touch(id.0);
+    /// Marks a group and its destination as changed.
+    pub(crate) fn mark_group_dirty(&mut self, id: &EndpointGroupId) {
+        self.dirty.0.insert(id.clone());
+        self.mark_dirty(id.0);
     }
 
-    /// Looks again at what changed.
-    pub(crate) fn settle(&mut self) {
-        while let Some(id) = self.touched.0.pop_first() {
-            let l = self.f.groups.get(&id);
-            let late = l.and_then(|l| self.late_at(l)).map(At::new);
-            let overdue = l.and_then(|l| self.overdue_at(l));
-            self.late.place(&id, late);
-            self.overdue.place(&id, overdue.map(|(at, call)| (At::new(at), call)));
-            if let Some(d) = self.f.dests.get_mut(&id.0) {
-                let mean = d.price_us();
-                let before = std::mem::replace(&mut d.mean_us, mean);
-                self.backlogged.1 =
-                    if d.held > 0 { self.backlogged.1 - before + mean } else { self.backlogged.1 };
+    /// Updates the index entries of everything that is marked dirty.
+    pub(crate) fn refresh_indexes(&mut self) {
+        while let Some(id) = self.dirty.0.pop_first() {
+            let group = self.fleet.groups.get(&id);
+            let overrun_at = group.and_then(|group| self.overrun_at(group)).map(OrderedF64::new);
+            let overdue_at = group.and_then(|group| self.overdue_at(group));
+            self.overrun_checks.set_or_remove(&id, overrun_at);
+            self.overdue_calls.set_or_remove(&id, overdue_at.map(|(at, call)| (OrderedF64::new(at), call)));
+            if let Some(destination) = self.fleet.destinations.get_mut(&id.0) {
+                let slot_time_us = destination.current_slot_time_us();
+                let before = std::mem::replace(&mut destination.slot_time_us, slot_time_us);
+                self.backlogged.1 = if destination.queued > 0 {
+                    self.backlogged.1 - before + slot_time_us
+                } else {
+                    self.backlogged.1
+                };
             }
-            self.f.note_phase(id);
+            self.fleet.note_breaker(id);
         }
-        while let Some(dest) = self.touched.1.pop_first() {
-            // One whose turn may come anyway is looked at when it does, unless it might send a probe by now.
-            let probes = self.s.may_probe && self.f.groups_of(dest).any(|x| x.1.phase == BreakerState::Open);
-            match self.f.dests.get(&dest) {
-                Some(d) if d.held > 0 && !probes && self.credits.has(dest) => {
-                    self.credits.put(dest, d.base, d.next);
+        while let Some(destination_id) = self.dirty.1.pop_first() {
+            // A destination that may send is examined when its turn comes, unless its next action may have
+            // become a probe.
+            let may_probe = self.settings.may_probe
+                && self.fleet.groups_of(destination_id).any(|x| x.1.breaker == BreakerState::Open);
+            match self.fleet.destinations.get(&destination_id) {
+                Some(destination)
+                    if destination.queued > 0 && !may_probe && self.credits.contains(destination_id) =>
+                {
+                    self.credits.insert(destination_id, destination.credit_base, destination.next_seq);
                 }
-                _ => self.file(dest),
+                _ => self.reindex_destination(destination_id),
             }
-            let idle =
-                |d: &Destination| d.held == 0 && d.out == 0 && d.hosts.is_empty() && d.groups.is_empty();
-            if self.f.dests.get(&dest).is_some_and(idle) {
-                self.f.dests.remove(&dest);
+            let idle = |destination: &Destination| {
+                destination.queued == 0
+                    && destination.calls_in_flight == 0
+                    && destination.hosts.is_empty()
+                    && destination.groups.is_empty()
+            };
+            if self.fleet.destinations.get(&destination_id).is_some_and(idle) {
+                self.fleet.destinations.remove(&destination_id);
             }
         }
     }
 
-    /// Puts a destination where release will find it: may send now, or from some time on.
-    pub(crate) fn file(&mut self, dest: u64) {
-        let look = self.look(dest);
-        let (turn, wake, probe) = match &look {
-            Look::Send(id, host) => (self.msgs.get(id), self.trial_ends(*id, host), None),
-            Look::Probe(host) => (None, None, Some(host.clone())),
-            Look::Nothing => (None, self.next_open(dest), None),
+    /// Files a destination by its next action: it may send now, send a probe, or may send from a later time
+    /// on.
+    pub(crate) fn reindex_destination(&mut self, destination_id: u64) {
+        let action = self.next_action(destination_id);
+        let (to_send, wake_at, probe) = match &action {
+            NextAction::Send(id, endpoint) => {
+                (self.messages.get(id), self.trial_deadline(*id, endpoint), None)
+            }
+            NextAction::Probe(endpoint) => (None, None, Some(endpoint.clone())),
+            NextAction::Nothing => (None, self.next_sendable_at(destination_id), None),
         };
-        match self.f.dests.get_mut(&dest).zip(turn) {
-            Some((d, m)) => {
-                d.next = m.seq;
-                self.credits.put(dest, d.base, d.next);
+        match self.fleet.destinations.get_mut(&destination_id).zip(to_send) {
+            Some((destination, message)) => {
+                destination.next_seq = message.seq;
+                self.credits.insert(destination_id, destination.credit_base, destination.next_seq);
             }
-            None => self.credits.take(dest),
+            None => self.credits.remove(destination_id),
         }
         match probe {
-            Some(host) => drop(self.probing.insert(dest, host)),
-            None => drop(self.probing.remove(&dest)),
+            Some(endpoint) => drop(self.pending_probes.insert(destination_id, endpoint)),
+            None => drop(self.pending_probes.remove(&destination_id)),
         }
-        self.wakes.place(&dest, wake.map(At::new));
-        self.looked = Some((dest, look));
+        self.wake_times.set_or_remove(&destination_id, wake_at.map(OrderedF64::new));
+        self.cached_action = Some((destination_id, action));
     }
 
-    /// A request leaves the hold; a queue that empties starts at zero again.
-    pub(crate) fn unhold(&mut self, id: u64) {
-        let Some(m) = self.msgs.get_mut(&id).filter(|m| m.held) else { return };
-        m.held = false;
-        let dest = m.dest;
-        self.ends.drop(&id);
-        self.resting.drop(&id);
-        self.touch(dest);
+    /// Takes a message out of its queue. A queue that becomes empty starts again without credit.
+    pub(crate) fn dequeue(&mut self, id: u64) {
+        let Some(message) = self.messages.get_mut(&id).filter(|message| message.queued) else { return };
+        message.queued = false;
+        let destination_id = message.destination_id;
+        self.expiries.remove(&id);
+        self.blocked.remove(&id);
+        self.mark_dirty(destination_id);
         let Some((sub_queue_key, queued_message)) =
-            self.msgs.get(&id).map(|m| (self.sub_queue_key(m), queued_message(id, m)))
+            self.messages.get(&id).map(|message| (self.sub_queue_key(message), queued_message(id, message)))
         else {
             return;
         };
-        let Some(d) = self.f.dests.get_mut(&dest) else { return };
-        if let Some(g) = d.sub_queues.get_mut(&sub_queue_key) {
-            g.take(queued_message);
-            if g.is_empty() {
-                d.sub_queues.remove(&sub_queue_key);
+        let Some(destination) = self.fleet.destinations.get_mut(&destination_id) else { return };
+        if let Some(sub_queue) = destination.sub_queues.get_mut(&sub_queue_key) {
+            sub_queue.remove(queued_message);
+            if sub_queue.is_empty() {
+                destination.sub_queues.remove(&sub_queue_key);
             }
         }
-        d.held -= 1;
-        if d.held == 0 {
-            d.full_logged = false;
-            self.backlogged = (self.backlogged.0 - 1, self.backlogged.1 - d.mean_us);
-            self.earns.drop(&dest);
-            self.earned.drop(&dest);
+        destination.queued -= 1;
+        if destination.queued == 0 {
+            destination.queue_full_logged = false;
+            self.backlogged = (self.backlogged.0 - 1, self.backlogged.1 - destination.slot_time_us);
+            self.value_rates.remove(&destination_id);
+            self.value_rate_order.remove(&destination_id);
         }
     }
 
-    /// Puts a held request among those that may go, or among those that something of their own holds back.
-    pub(crate) fn refile(&mut self, id: u64) {
-        let Some(m) = self.msgs.get(&id).filter(|m| m.held) else { return };
-        let (free, sub_queue_key, queued_message, dest) =
-            (self.free_at(id, m), self.sub_queue_key(m), queued_message(id, m), m.dest);
-        let ready = free <= self.now;
-        if let Some(d) = self.f.dests.get_mut(&dest) {
-            let g = d.sub_queues.entry(sub_queue_key).or_default();
-            g.take(queued_message);
-            g.put(queued_message, ready);
-            // Until it is looked at, what has come to be free may be what it would send.
-            d.next = if ready { d.next.min(queued_message.seq) } else { d.next };
+    /// Files a queued message among those that may be sent, or among those that their own state holds back.
+    pub(crate) fn reindex_message(&mut self, id: u64) {
+        let Some(message) = self.messages.get(&id).filter(|message| message.queued) else { return };
+        let (sendable_at, sub_queue_key, queued_message, destination_id) = (
+            self.sendable_at(id, message),
+            self.sub_queue_key(message),
+            queued_message(id, message),
+            message.destination_id,
+        );
+        let ready = sendable_at <= self.now;
+        if let Some(destination) = self.fleet.destinations.get_mut(&destination_id) {
+            let sub_queue = destination.sub_queues.entry(sub_queue_key).or_default();
+            sub_queue.remove(queued_message);
+            sub_queue.insert(queued_message, ready);
+            // Until the destination is examined, this message may be the next that it would send.
+            destination.next_seq =
+                if ready { destination.next_seq.min(queued_message.seq) } else { destination.next_seq };
         }
-        self.resting.place(&id, Some(At::new(free)).filter(|_| !ready && free < f64::MAX));
-        self.touch(dest);
+        self.blocked.set_or_remove(
+            &id,
+            Some(OrderedF64::new(sendable_at)).filter(|_| !ready && sendable_at < f64::MAX),
+        );
+        self.mark_dirty(destination_id);
     }
 
-    pub(crate) fn sub_queue_key(&self, m: &Msg) -> SubQueueKey {
-        let keyed = self.s.classes[m.class].effect == Effect::Keyed;
-        let first = m.maybe.as_ref().filter(|_| keyed).map(|x| x.1.clone());
-        SubQueueKey { class: m.class, tenant: m.tenant, first, untried: m.untried }
+    /// Returns the sub-queue that a message belongs to.
+    pub(crate) fn sub_queue_key(&self, message: &Message) -> SubQueueKey {
+        let keyed = self.settings.classes[message.class].effect == Effect::Keyed;
+        let first_endpoint = message.first_uncertain_send.as_ref().filter(|_| keyed).map(|x| x.1.clone());
+        SubQueueKey { class: message.class, tenant: message.tenant, first_endpoint, untried: message.untried }
     }
 
-    /// Puts a destination anew among those weighed by what their holds earn least.
-    pub(crate) fn weigh(&mut self, dest: u64) {
-        let least = self.least(dest).map(|x| At::new(x.0));
-        self.earns.place(&dest, least);
+    /// Recomputes the lowest value per time of a destination's queue.
+    pub(crate) fn update_value_rate(&mut self, destination_id: u64) {
+        let lowest = self.least_valuable(destination_id).map(|x| OrderedF64::new(x.0));
+        self.value_rates.set_or_remove(&destination_id, lowest);
         self.seq += 1;
-        self.earned.place(&dest, least.map(|_| self.seq));
+        self.value_rate_order.set_or_remove(&destination_id, lowest.map(|_| self.seq));
     }
 
-    /// A request is given up: for others of its key it is over once its sender has heard.
-    pub(crate) fn owe(&mut self, id: u64) {
-        let m = self.msgs.get(&id).filter(|m| self.s.confirms_answers && !m.over);
-        m.into_iter().for_each(|m| self.keys.owe(&m.key, m.seq, id));
+    /// Records that a message is given up: for others of its key it is finished only when its sender has
+    /// received the answer.
+    pub(crate) fn await_confirmation(&mut self, id: u64) {
+        let message =
+            self.messages.get(&id).filter(|message| self.settings.confirms_answers && !message.finished);
+        message.into_iter().for_each(|message| self.keys.await_confirmation(&message.key, message.seq, id));
     }
 
-    /// A sender has heard the end of its request, or has yet to hear it.
-    pub(crate) fn told(&mut self, event: &Event) {
+    /// Handles an event about an answer that its sender has received or still has to receive.
+    pub(crate) fn handle_answer_event(&mut self, event: &Event) {
         match event {
             Event::AnswerPending { id, key } => {
                 let key = Name::from(key.as_str());
                 self.seq += 1;
-                self.keys.queue(&Some(key.clone()), self.seq, *id);
-                self.keys.owe(&Some(key.clone()), self.seq, *id);
-                self.keys.leave(key, self.seq, *id, self.now);
+                self.keys.enqueue(&Some(key.clone()), self.seq, *id);
+                self.keys.await_confirmation(&Some(key.clone()), self.seq, *id);
+                self.keys.remove(key, self.seq, *id, self.now);
             }
-            Event::AnswerExpected { id } => self.owe(*id),
+            Event::AnswerExpected { id } => self.await_confirmation(*id),
             Event::AnswerConfirmed { id } => {
-                let next = self.keys.told(*id, self.now);
-                next.into_iter().for_each(|id| self.refile(id));
+                let next = self.keys.confirm(*id, self.now);
+                next.into_iter().for_each(|id| self.reindex_message(id));
             }
             _ => {}
         }
     }
 
-    /// Forgets a destination, if nothing is held or out there and nothing is known that binds a later call: it is well, no wait
-    /// or quiet time is left, and its bucket is as full as it will be. Gives whether it was forgotten, and the names of its hosts:
-    /// whoever names it next has them listed first. `None` for one that is not known. What is lost is what was measured: latency, told limit, the rates of late.
-    pub fn forget(&mut self, now: f64, dest: u64) -> Option<Result<Vec<Name>, InUse>> {
+    /// Forgets a destination, if nothing is queued or in flight there and nothing known about it restricts a
+    /// later call: it is healthy, no Retry-After or backoff lasts, and its token bucket is full. Returns the
+    /// names of its endpoints, or [`InUse`] if it can't be forgotten; `None` if it is unknown. Before a later
+    /// request for it, the caller has to list its endpoints again. What was measured is lost: latency,
+    /// reported limit and recent rates.
+    pub fn forget(&mut self, now: f64, destination_id: u64) -> Option<Result<Vec<Name>, InUse>> {
         self.now = self.now.max(now);
         let now = self.now;
-        let d = self.f.dests.get(&dest)?;
-        let quiet = d.held == 0 && d.out == 0 && d.sub_queues.is_empty();
-        let idle = self.f.hosts_of(dest).all(|(_, h)| h.out == 0 && h.shun_until <= now);
-        let binds = |l: &EndpointGroup| !l.binds_nothing(now) || l.ready(now) > now;
-        if !quiet || !idle || self.f.groups_of(dest).any(|(_, l)| binds(l)) {
+        let destination = self.fleet.destinations.get(&destination_id)?;
+        let unused =
+            destination.queued == 0 && destination.calls_in_flight == 0 && destination.sub_queues.is_empty();
+        let idle = self
+            .fleet
+            .hosts_of(destination_id)
+            .all(|(_, host)| host.calls_in_flight == 0 && host.avoid_until <= now);
+        let restricted =
+            |group: &EndpointGroup| !group.is_unrestricted(now) || group.token_ready_at(now) > now;
+        if !unused || !idle || self.fleet.groups_of(destination_id).any(|(_, group)| restricted(group)) {
             return Some(Err(InUse));
         }
-        let groups: Vec<EndpointGroupId> = self.f.groups_of(dest).map(|x| x.0).collect();
-        let hosts = self.f.forget(dest);
-        groups.iter().for_each(|id| self.touch_group(id));
-        self.touch(dest);
-        self.settle();
+        let groups: Vec<EndpointGroupId> = self.fleet.groups_of(destination_id).map(|x| x.0).collect();
+        let hosts = self.fleet.remove_destination(destination_id);
+        groups.iter().for_each(|id| self.mark_group_dirty(id));
+        self.mark_dirty(destination_id);
+        self.refresh_indexes();
         Some(Ok(hosts))
     }
 
-    /// What time alone has changed since the last round.
-    pub(crate) fn wake(&mut self) {
-        while let Some(id) = self.resting.pop_due(self.now) {
-            self.refile(id);
+    /// Processes what has become due by time alone since the last round.
+    pub(crate) fn process_due_times(&mut self) {
+        while let Some(id) = self.blocked.pop_due(self.now) {
+            self.reindex_message(id);
         }
-        while let Some(dest) = self.wakes.pop_due(self.now) {
-            self.touch(dest);
+        while let Some(destination_id) = self.wake_times.pop_due(self.now) {
+            self.mark_dirty(destination_id);
         }
-        self.keys.forget(self.now);
+        self.keys.forget_expired(self.now);
     }
 }
--- a/crates/linenhall/src/view.rs
+++ b/crates/linenhall/src/view.rs
@@ -1,39 +1,41 @@
-//! What can be seen of a relay's state from outside. Nothing here decides.
+//! Views of a relay's state for its users. This module makes no decisions.
 
 use crate::fleet::{BreakerState, EndpointGroup};
 use crate::interface::{EndpointStatus, Outage};
 use crate::logic::Relay;
 use serde::{Deserialize, Serialize};
 
-/// What keeps the messages held for a destination from going out. Of several the first in this order is named.
+/// What keeps the messages queued for a destination from being sent. If several reasons hold, the first in
+/// this order is given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum WaitReason {
-    /// It has no endpoint that takes anything new.
+    /// It has no active endpoint.
     NoEndpoint,
-    /// It was told to wait.
+    /// A Retry-After lasts.
     Wait,
-    /// It is out, and the next trial is not due, or one is out.
+    /// The breaker is open, and the next half-open trial is not due or one is in flight.
     Trial,
-    /// It came back, and has been sent what it bears just now.
+    /// It is in slow start and has been sent what it can take at the moment.
     Ramp,
-    /// Nothing goes there for a while after a refusal.
+    /// The backoff after a refusal lasts.
     Quiet,
-    /// A refusal emptied its bucket, which would else have a call in it.
+    /// A refusal emptied the token bucket, which would otherwise hold a token.
     Bucket,
-    /// Its pace.
+    /// The rate limit.
     Pace,
-    /// It has half of the slots, and is sick.
+    /// It holds half of the slots and is degraded.
     Half,
-    /// It has three quarters of the slots.
+    /// It holds three quarters of the slots.
     ThreeQuarters,
     /// All slots are taken.
     Slots,
-    /// Something of the messages' own: a pause after a failure, an earlier one of the key.
+    /// The state of the messages themselves: a pause after a failure, an earlier message of the same key, or
+    /// a pause of the key.
     Own,
 }
 
 impl WaitReason {
-    /// All of them, in their order.
+    /// All reasons in their order.
     pub const ALL: [WaitReason; 11] = [
         WaitReason::NoEndpoint,
         WaitReason::Wait,
@@ -49,92 +51,105 @@
     ];
 }
 
-/// How what a call goes to stands.
+/// Health of an endpoint group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GroupHealth {
     /// Nothing is known against it.
     Healthy,
-    /// A call outruns its latency, or its last outcome failed.
+    /// A call overruns its expected latency, or the last outcome was a failure.
     Degraded,
-    /// Single trials.
+    /// Only single half-open trials go out.
     Open,
-    /// Back, and perhaps cold.
+    /// Recovered, and perhaps still cold.
     SlowStart,
 }
 
 impl Relay {
-    /// The outages that a later process of this relay should know of.
+    /// Returns the outages that a later process of this relay should know of.
     pub fn outages(&self) -> Vec<Outage> {
-        self.f.unwell.list()
+        self.fleet.unhealthy.list()
     }
 
-    /// Grows whenever [`Relay::outages`] changes.
+    /// Returns a number that grows whenever [`Relay::outages`] changes.
     pub fn outages_version(&self) -> u64 {
-        self.f.unwell.version()
+        self.fleet.unhealthy.version()
     }
 
-    /// Endpoints in the list, and those of them that are avoided just now.
+    /// Returns the number of listed endpoints, and how many of them are avoided at the moment.
     pub fn hosts(&self, now: f64) -> (usize, usize) {
-        self.f.counts(now)
+        self.fleet.host_counts(now)
     }
 
-    /// How much is remembered of requests, calls, endpoints and lanes: what a long run must not let grow.
+    /// Returns how many messages, calls, endpoints and groups are in memory, which must not grow over a long
+    /// run.
     pub fn sizes(&self) -> [usize; 4] {
-        let [hosts, groups] = self.f.sizes();
-        [self.msgs.len(), self.calls.len(), hosts, groups]
+        let [hosts, groups] = self.fleet.sizes();
+        [self.messages.len(), self.calls.len(), hosts, groups]
     }
 
-    /// What keeps the messages held for a destination waiting, as of the last round.
-    pub fn wait_reason(&self, dest: u64) -> Option<WaitReason> {
-        let d = self.f.dests.get(&dest).filter(|d| d.held > 0)?;
+    /// Returns what keeps the messages queued for a destination waiting, as of the last round.
+    pub fn wait_reason(&self, destination_id: u64) -> Option<WaitReason> {
+        let destination =
+            self.fleet.destinations.get(&destination_id).filter(|destination| destination.queued > 0)?;
         let now = self.now;
-        let mut shut: Option<WaitReason> = Some(WaitReason::NoEndpoint);
-        for (_, h) in self.f.hosts_of(dest).filter(|x| x.1.status == EndpointStatus::Active) {
-            let Some(l) = self.f.groups.get(&h.group) else { continue };
-            let why = (self.gate(&h.group) > now).then(|| shut_by(l, now));
-            // The endpoint that is nearest to taking something speaks for all.
-            shut = if shut == Some(WaitReason::NoEndpoint) || why.is_none() { why } else { shut.max(why) };
-            if shut.is_none() {
+        let mut blocked_by: Option<WaitReason> = Some(WaitReason::NoEndpoint);
+        for (_, host) in self.fleet.hosts_of(destination_id).filter(|x| x.1.status == EndpointStatus::Active)
+        {
+            let Some(group) = self.fleet.groups.get(&host.group) else { continue };
+            let reason = (self.call_allowed_at(&host.group) > now).then(|| closed_gate_reason(group, now));
+            // The endpoint that is nearest to taking a call decides.
+            blocked_by = if blocked_by == Some(WaitReason::NoEndpoint) || reason.is_none() {
+                reason
+            } else {
+                blocked_by.max(reason)
+            };
+            if blocked_by.is_none() {
                 break;
             }
         }
-        Some(match shut {
-            Some(why) => why,
-            None if d.out >= self.ceiling(dest) && self.sick(dest) => WaitReason::Half,
-            None if d.out >= self.ceiling(dest) => WaitReason::ThreeQuarters,
-            None if self.calls.len() >= self.s.slots => WaitReason::Slots,
+        Some(match blocked_by {
+            Some(reason) => reason,
+            None if destination.calls_in_flight >= self.slot_limit(destination_id)
+                && self.is_degraded(destination_id) =>
+            {
+                WaitReason::Half
+            }
+            None if destination.calls_in_flight >= self.slot_limit(destination_id) => {
+                WaitReason::ThreeQuarters
+            }
+            None if self.calls.len() >= self.settings.slots => WaitReason::Slots,
             None => WaitReason::Own,
         })
     }
 
-    /// How the lane of an endpoint stands.
-    pub fn group_health(&self, dest: u64, endpoint: &str) -> GroupHealth {
-        let group = self.f.hosts.get(endpoint).and_then(|h| self.f.groups.get(&h.group));
-        match group.map(|l| l.phase) {
+    /// Returns the health of an endpoint's group.
+    pub fn group_health(&self, destination_id: u64, endpoint: &str) -> GroupHealth {
+        let group = self.fleet.hosts.get(endpoint).and_then(|host| self.fleet.groups.get(&host.group));
+        match group.map(|group| group.breaker) {
             Some(BreakerState::Open) => GroupHealth::Open,
             Some(BreakerState::SlowStart(_)) => GroupHealth::SlowStart,
-            _ if self.sick(dest) => GroupHealth::Degraded,
+            _ if self.is_degraded(destination_id) => GroupHealth::Degraded,
             _ => GroupHealth::Healthy,
         }
     }
 }
 
-/// Which of the gate's reasons holds a lane that is shut.
-fn shut_by(l: &EndpointGroup, now: f64) -> WaitReason {
-    let tokens = |pace: f64| l.tokens + pace * (now - l.filled).max(0.0) / 1000.0;
-    match l.phase {
-        _ if l.wait_until > now => WaitReason::Wait,
+/// Returns which condition of [`Relay::call_allowed_at`] holds back a group that may not take a call now.
+fn closed_gate_reason(group: &EndpointGroup, now: f64) -> WaitReason {
+    let tokens = |rate_limit: f64| group.tokens + rate_limit * (now - group.refilled_at).max(0.0) / 1000.0;
+    match group.breaker {
+        _ if group.retry_after_until > now => WaitReason::Wait,
         BreakerState::Open => WaitReason::Trial,
-        _ if l.quiet_until > now => WaitReason::Quiet,
-        _ if l.pace.is_some_and(|pace| tokens(pace) < 1.0) => {
-            if l.emptied_until > now {
+        _ if group.backoff_until > now => WaitReason::Quiet,
+        _ if group.rate_limit.is_some_and(|rate_limit| tokens(rate_limit) < 1.0) => {
+            if group.bucket_emptied_until > now {
                 WaitReason::Bucket
             } else {
                 WaitReason::Pace
             }
         }
         BreakerState::SlowStart(_) => WaitReason::Ramp,
-        // One call until its limit is told.
+        // One call goes out until the limit is known.
         BreakerState::Closed => WaitReason::Pace,
     }
 }
