--- a/crates/linenhall/src/audit.rs
+++ b/crates/linenhall/src/audit.rs
@@ -75,12 +75,12 @@
         let (mut calls_by_destination, mut calls_by_endpoint) =
             (BTreeMap::<u64, usize>::new(), BTreeMap::<&str, usize>::new());
         for (id, call) in self.calls.walk() {
-            *calls_by_destination.entry(call.group.0).or_default() += 1;
+            *calls_by_destination.entry(call.group_id.0).or_default() += 1;
             *calls_by_endpoint.entry(&call.kind.endpoint).or_default() += 1;
             let recorded = self
                 .fleet
                 .groups
-                .get(&call.group)
+                .get(&call.group_id)
                 .is_some_and(|group| group.calls.contains(&call.kind, call.sent_at, *id));
             ensure(recorded, || format!("call {id}: not recorded in its endpoint group"))?;
             let recorded_on_message = |message: &u64| {
--- a/crates/linenhall/src/fleet.rs
+++ b/crates/linenhall/src/fleet.rs
@@ -159,7 +159,7 @@
 pub struct Host {
     pub destination_id: u64,
     /// The group that it belongs to.
-    pub group: EndpointGroupId,
+    pub group_id: EndpointGroupId,
     /// Its zone.
     pub zone: u32,
     /// The kind of its destination.
@@ -181,10 +181,10 @@
 
 impl Host {
     /// Returns an endpoint of the group with nothing known of it.
-    pub fn new(group: EndpointGroupId) -> Host {
+    pub fn new(group_id: EndpointGroupId) -> Host {
         Host {
-            destination_id: group.0,
-            group,
+            destination_id: group_id.0,
+            group_id,
             zone: 0,
             kind: 0,
             status: EndpointStatus::Active,
@@ -354,7 +354,7 @@
     pub fn host_counts(&self, now: f64) -> (usize, usize) {
         let listed = || self.hosts.walk().map(|x| x.1).filter(|host| host.status != EndpointStatus::Removed);
         let avoided = |host: &&Host| {
-            let group = self.groups.get(&host.group);
+            let group = self.groups.get(&host.group_id);
             host.status == EndpointStatus::Draining
                 || host.avoid_until > now
                 || group
@@ -438,7 +438,7 @@
             let list_count = self.list_count;
             for (_, host) in self.hosts.walk_mut().filter(|x| x.1.list_generation != list_count) {
                 if std::mem::replace(&mut host.status, EndpointStatus::Removed) != EndpointStatus::Removed {
-                    mark_dirty(&host.group);
+                    mark_dirty(&host.group_id);
                 }
             }
         }
@@ -458,7 +458,7 @@
             host.list_generation = self.list_count;
             if self
                 .groups
-                .get(&host.group)
+                .get(&host.group_id)
                 .is_some_and(|group| limit.is_none() || group.reported_limit == limit)
             {
                 return;
@@ -473,7 +473,7 @@
         };
         let id = (endpoint.destination, group);
         let host = self.hosts.or_insert_with(name.clone(), || Host::new(id.clone()));
-        let before = std::mem::replace(&mut host.group, id.clone());
+        let before = std::mem::replace(&mut host.group_id, id.clone());
         (host.destination_id, host.zone, host.kind, host.status, host.list_generation) =
             (endpoint.destination, endpoint.zone, endpoint.kind, endpoint.status, self.list_count);
         if before != id {
@@ -514,7 +514,7 @@
                 self.removed.insert(name.clone());
                 continue;
             }
-            let id = host.group.clone();
+            let id = host.group_id.clone();
             self.hosts.remove(name);
             mark_dirty(&id);
             let drop_group = !id.1.is_empty() && self.groups.get(&id).is_some_and(&may_go);
--- a/crates/linenhall/src/handover.rs
+++ b/crates/linenhall/src/handover.rs
@@ -130,7 +130,7 @@
             if let Some(host) = self.fleet.hosts.get_mut(row.endpoint.as_str()) {
                 (host.consecutive_failures, host.avoid_until) =
                     (row.fails, now + clamp_finite(row.shun_in, 0.0, MAX_TRIAL_DELAY_MS));
-                changed.push(host.group.clone());
+                changed.push(host.group_id.clone());
             }
         }
         for row in &learnt.dests {
--- a/crates/linenhall/src/logic.rs
+++ b/crates/linenhall/src/logic.rs
@@ -45,7 +45,7 @@
 /// Bounds of the time between half-open trials: lower and upper bound where this relay calls the group often,
 /// then lower and upper bound where it calls the group seldom.
 const TRIAL_INTERVAL_MS: (f64, f64, f64, f64) = (500.0, 2000.0, 4000.0, 30000.0);
-/// With many relays, replaces the second value of [`TRIAL_INTERVAL_MS`] as least upper bound.
+/// With many relays, replaces the second value of [`TRIAL_INTERVAL_MS`] as the lowest upper bound.
 const MANY_RELAYS_TRIAL_INTERVAL_MS: f64 = 1000.0;
 /// Time between two checks of a group in slow start that has messages queued.
 const SLOW_START_RECHECK_MS: f64 = 25.0;
@@ -99,6 +99,7 @@
 const REEVALUATED_QUEUES: (usize, usize) = (16, 4);
 
 impl EndpointGroup {
+    /// Returns a group with nothing known of it, and one token in its bucket.
     fn new(now: f64) -> Self {
         let (short_rate, long_rate) = (Meter::new(SHORT_RATE_WINDOW_MS), Meter::new(LONG_RATE_WINDOW_MS));
         EndpointGroup {
@@ -242,6 +243,7 @@
         self.arm_timer(actions);
     }
 
+    /// Updates the state with one event.
     fn handle_event(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
             Event::ListUpdate(update) => self.apply_list_update(update, actions),
@@ -469,7 +471,8 @@
 
     /// Updates the group and the endpoint with the outcome of a call or probe.
     fn learn_from(&mut self, observation: &CallObservation, actions: &mut Vec<Action>) {
-        let &CallObservation { group: id, endpoint, outcome, took_ms, retry_after_ms, trial } = observation;
+        let &CallObservation { group_id: id, endpoint, outcome, took_ms, retry_after_ms, trial } =
+            observation;
         let now = self.now;
         let even_share = self.fleet.groups.get(id).and_then(|group| self.even_share(group));
         let ((first_rate, low_rate), many_relays) = (self.rate_thresholds(), self.many_relays());
@@ -672,6 +675,7 @@
         });
     }
 
+    /// Handles the end of a probe.
     fn probe_ended(&mut self, endpoint: &str, outcome: Outcome, report: &[f64], actions: &mut Vec<Action>) {
         let Some(id) = self.probes_in_flight.remove(endpoint) else { return };
         self.mark_group_dirty(&id);
@@ -679,7 +683,7 @@
         if outcome != Outcome::Delivered {
             return self.learn_from(
                 &CallObservation {
-                    group: &id,
+                    group_id: &id,
                     endpoint,
                     outcome,
                     took_ms: 0.0,
@@ -699,6 +703,7 @@
 
     // ---- attempts and outcomes
 
+    /// Queues a new request, and makes room for the next one if all places are taken.
     fn accept_request(&mut self, event: &Event, actions: &mut Vec<Action>) {
         let Event::Request { id, class, tenant, key, due, destination } = event else { return };
         let (id, tenant, destination_id) = (*id, *tenant, *destination);
@@ -874,6 +879,7 @@
         value_rates.min_by(|a, b| a.0.total_cmp(&b.0).then(b.1.seq.cmp(&a.1.seq)))
     }
 
+    /// Whether at most one slot is free.
     fn slots_are_scarce(&self) -> bool {
         self.calls.len() + 1 >= self.settings.slots
     }
@@ -940,6 +946,8 @@
         }
     }
 
+    /// Handles the end of an attempt: records its outcome once per call, and ends the message or queues it
+    /// again.
     fn attempt_ended(&mut self, event: &Event, actions: &mut Vec<Action>) {
         let Event::Ended { id, attempt, outcome, took_ms, settled, wait_ms, report } = event else {
             return;
@@ -954,7 +962,7 @@
         call.message_ids.retain(|x| *x != id);
         let first = !std::mem::replace(&mut call.outcome_counted, true);
         let all_ended = call.message_ids.is_empty();
-        let (group_id, sent_at, cancelled) = (call.group.clone(), call.sent_at, call.cancelled);
+        let (group_id, sent_at, cancelled) = (call.group_id.clone(), call.sent_at, call.cancelled);
         let CallKind { endpoint, trial, .. } = call.kind.clone();
         if !outcome.never_ran() && message.first_uncertain_send.as_ref().is_none_or(|x| sent_at < x.0) {
             message.first_uncertain_send = Some((sent_at, endpoint.clone()));
@@ -1005,7 +1013,7 @@
                 (clamp_finite(*took_ms, 0.0, 1e9), clamp_finite(*wait_ms, 0.0, 1e9));
             self.learn_from(
                 &CallObservation {
-                    group: &group_id,
+                    group_id: &group_id,
                     endpoint: &endpoint,
                     outcome,
                     took_ms,
@@ -1094,6 +1102,7 @@
 
     // ---- discovery
 
+    /// Applies an update of the list, or schedules the next request for it after a failure.
     fn apply_list_update(&mut self, update: &ListUpdate, actions: &mut Vec<Action>) {
         let (list, full_list) = match update {
             ListUpdate::Failed => {
@@ -1130,6 +1139,7 @@
         self.cached_action = None;
     }
 
+    /// Starts watching the list where that is due.
     fn request_watch(&mut self, actions: &mut Vec<Action>) {
         if self.settings.poll_discovery
             && !self.watching
@@ -1143,6 +1153,8 @@
 
     // ---- sending: Most Credit First
 
+    /// Fills the free slots: the destination with the highest credit sends first, and probes go before
+    /// messages.
     fn send_queued(&mut self, actions: &mut Vec<Action>) {
         self.refresh_indexes();
         self.open_on_overruns(actions);
@@ -1208,7 +1220,7 @@
     ) -> Option<u64> {
         let (destination, host) =
             (self.fleet.destinations.get(&destination_id)?, self.fleet.hosts.get(endpoint)?);
-        let group = self.fleet.groups.get(&host.group);
+        let group = self.fleet.groups.get(&host.group_id);
         let latency = self
             .fleet
             .groups_of(destination_id)
@@ -1293,15 +1305,18 @@
         for (name, host) in
             self.fleet.hosts_of(destination_id).filter(|x| x.1.status == EndpointStatus::Active)
         {
-            if self.call_allowed_at(&host.group) > self.now {
+            if self.call_allowed_at(&host.group_id) > self.now {
                 continue;
             }
-            let trial =
-                self.fleet.groups.get(&host.group).is_some_and(|group| group.breaker == BreakerState::Open);
+            let trial = self
+                .fleet
+                .groups
+                .get(&host.group_id)
+                .is_some_and(|group| group.breaker == BreakerState::Open);
             let recently_used = self.now - host.last_used_at < self.settings.conn_idle_ms;
             let has_idle_connection =
                 recently_used && host.calls_in_flight < host.connections * self.settings.conn_streams;
-            let fee = self.settings.route_fee.get(host.zone as usize).filter(|_| !host.group.1.is_empty());
+            let fee = self.settings.route_fee.get(host.zone as usize).filter(|_| !host.group_id.1.is_empty());
             let cost = if host.zone == self.settings.zone { 0.0 } else { self.settings.cross_zone_cost }
                 + if has_idle_connection { 0.0 } else { self.settings.handshake_cost }
                 + fee.unwrap_or(&0.0);
@@ -1333,7 +1348,7 @@
                 .fleet
                 .hosts
                 .get(&endpoint)
-                .and_then(|host| self.fleet.groups.get(&host.group))
+                .and_then(|host| self.fleet.groups.get(&host.group_id))
                 .filter(|_| trial);
             let Some(group) = group else { continue };
             if self.settings.may_probe && !group.probe_succeeded {
@@ -1354,11 +1369,11 @@
         let mut at = |t: f64| next = if t > self.now { next.min(t) } else { next };
         for (_, host) in self.fleet.hosts_of(destination_id).filter(|x| x.1.status == EndpointStatus::Active)
         {
-            let allowed_at = self.call_allowed_at(&host.group);
+            let allowed_at = self.call_allowed_at(&host.group_id);
             let slow_start = self
                 .fleet
                 .groups
-                .get(&host.group)
+                .get(&host.group_id)
                 .is_some_and(|group| matches!(group.breaker, BreakerState::SlowStart(_)));
             // The capacity of a group grows during slow start, so it may take a call sooner than computed
             // now.
@@ -1378,19 +1393,20 @@
     /// Returns until when an answer to a message sent as a trial would come in time; after that, a probe is
     /// sent instead.
     pub(crate) fn trial_deadline(&self, id: u64, endpoint: &Name) -> Option<f64> {
-        let group = self.fleet.hosts.get(endpoint).and_then(|host| self.fleet.groups.get(&host.group));
+        let group = self.fleet.hosts.get(endpoint).and_then(|host| self.fleet.groups.get(&host.group_id));
         let (mean, deviation) =
             group.filter(|group| self.settings.may_probe && group.breaker == BreakerState::Open)?.latency?;
         self.messages.get(&id).map(|message| (message.due - mean - deviation).next_up())
     }
 
+    /// Starts a probe, if it is still the next action of the destination.
     fn start_probe(&mut self, destination_id: u64, endpoint: Name, actions: &mut Vec<Action>) {
         let now = self.now;
         self.mark_dirty(destination_id);
         if !matches!(self.next_action(destination_id), NextAction::Probe(now) if now == endpoint) {
             return;
         }
-        let Some(id) = self.fleet.hosts.get(&endpoint).map(|host| host.group.clone()) else { return };
+        let Some(id) = self.fleet.hosts.get(&endpoint).map(|host| host.group_id.clone()) else { return };
         let Some(group) = self.fleet.groups.get_mut(&id) else { return };
         group.trial_in_flight = true;
         group.recent_sends.add(now, 1.0, now - self.settings.fall_ms.max(self.settings.warm_after_ms));
@@ -1398,12 +1414,13 @@
         self.probes_in_flight.insert(endpoint, id);
     }
 
+    /// Starts an attempt: it joins a call started in this round where batches allow it, else a new call.
     fn start_attempt(&mut self, id: u64, endpoint: &Name, actions: &mut Vec<Action>) {
         let now = self.now;
         let (Some(host), Some(message)) = (self.fleet.hosts.get(endpoint), self.messages.get(&id)) else {
             return;
         };
-        let (group_id, begin_by) = (host.group.clone(), self.send_deadline(message));
+        let (group_id, begin_by) = (host.group_id.clone(), self.send_deadline(message));
         let class = &self.settings.classes[message.class];
         let carries_unsafe = class.effect == Effect::Unsafe;
         let Some(group) = self.fleet.groups.get_mut(&group_id) else { return };
@@ -1428,9 +1445,9 @@
                     carries_unsafe,
                 };
                 group.calls.insert(kind.clone(), now, self.seq);
-                let call_group = group_id.clone();
+                let call_group_id = group_id.clone();
                 let call = Call {
-                    group: call_group,
+                    group_id: call_group_id,
                     kind,
                     sent_at: now,
                     message_ids: Vec::new(),
@@ -1591,6 +1608,7 @@
         2.0 * self.settings.tick_ms + (self.expiries.len() / EXPIRY_ROUND.0) as f64 * EXPIRY_ROUND.1
     }
 
+    /// Gives up the queued messages whose time ends, in the order of their destinations and arrival.
     fn expire_queued(&mut self, actions: &mut Vec<Action>) {
         let end = self.now + self.expiry_lead_ms();
         let due = std::iter::from_fn(|| self.expiries.pop_due(end)).take(EXPIRY_ROUND.0).collect::<Vec<_>>();
--- a/crates/linenhall/src/state.rs
+++ b/crates/linenhall/src/state.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug)]
 pub struct Call {
     /// The group that the call counts for.
-    pub group: EndpointGroupId,
+    pub group_id: EndpointGroupId,
     /// What decides the time that the call is given.
     pub kind: CallKind,
     pub sent_at: f64,
@@ -81,7 +81,7 @@
 
 /// What the end of a call or probe shows about its group and endpoint.
 pub struct CallObservation<'a> {
-    pub group: &'a EndpointGroupId,
+    pub group_id: &'a EndpointGroupId,
     pub endpoint: &'a str,
     pub outcome: Outcome,
     pub took_ms: f64,
--- a/crates/linenhall/src/view.rs
+++ b/crates/linenhall/src/view.rs
@@ -95,8 +95,8 @@
         let mut blocked_by: Option<WaitReason> = Some(WaitReason::NoEndpoint);
         for (_, host) in self.fleet.hosts_of(destination_id).filter(|x| x.1.status == EndpointStatus::Active)
         {
-            let Some(group) = self.fleet.groups.get(&host.group) else { continue };
-            let reason = (self.call_allowed_at(&host.group) > now).then(|| closed_gate_reason(group, now));
+            let Some(group) = self.fleet.groups.get(&host.group_id) else { continue };
+            let reason = (self.call_allowed_at(&host.group_id) > now).then(|| closed_gate_reason(group, now));
             // The endpoint that is nearest to taking a call decides.
             blocked_by = if blocked_by == Some(WaitReason::NoEndpoint) || reason.is_none() {
                 reason
@@ -124,7 +124,7 @@
 
     /// Returns the health of an endpoint's group.
     pub fn group_health(&self, destination_id: u64, endpoint: &str) -> GroupHealth {
-        let group = self.fleet.hosts.get(endpoint).and_then(|host| self.fleet.groups.get(&host.group));
+        let group = self.fleet.hosts.get(endpoint).and_then(|host| self.fleet.groups.get(&host.group_id));
         match group.map(|group| group.breaker) {
             Some(BreakerState::Open) => GroupHealth::Open,
             Some(BreakerState::SlowStart(_)) => GroupHealth::SlowStart,
