--- a/crates/linenhall/src/logic.rs
+++ b/crates/linenhall/src/logic.rs
@@ -75,8 +75,8 @@
 const CONNECTION_FAILURE_MEMORY_MS: f64 = 60000.0;
 /// Steps per unit of value to which an expected loss is rounded.
 const LOSS_STEPS_PER_VALUE: f64 = 4294967296.0;
-/// Loss assigned to messages that a restart found untried; larger than any real loss of value. Less their due
-/// time, so that they go first, in the order of their due times.
+/// Loss assigned to messages that a restart found untried; larger than any real loss of value, so that they
+/// go first. Their due time is subtracted from it, so that they go in the order of their due times.
 const UNTRIED_LOSS: f64 = 1e15;
 /// Shortest and longest time between failed requests for the list.
 const DISCOVERY_RETRY_MS: (f64, f64) = (500.0, 8000.0);
