--- a/crates/membership/src/active_set.rs
+++ b/crates/membership/src/active_set.rs
@@ -1,86 +1,92 @@
-//! Which destinations are in use: those that the decisions and the carrier know. As many as there is room for; the one that was
-//! not used for longest makes room for the next, by the second-chance rule (CLOCK): a use sets a mark and moves nothing.
+//! The set of active destinations: those that the decision module and the carrier know. Its capacity is
+//! bounded; when it is exceeded, the least recently used destination is evicted by the second-chance (CLOCK)
+//! algorithm, in which a use only sets a mark and moves no element.
 
 use foldhash::fast::RandomState;
 use std::collections::HashMap;
 
-/// How many are looked at for one that may go. The rest is looked at for the next.
-const LOOKS: usize = 32;
+/// Maximum number of slots that one call of [`ActiveSet::evict_surplus`] examines. The next call continues
+/// where it stopped.
+const MAX_EXAMINED_SLOTS: usize = 32;
 
-struct Place {
+struct Slot {
     destination: u64,
-    used: bool,
+    /// Whether the destination was used since the clock hand last passed it.
+    referenced: bool,
 }
 
-/// See the module's page.
+/// A bounded set of destinations with second-chance eviction. See the module's documentation.
 pub struct ActiveSet {
-    places: Vec<Place>,
-    at: HashMap<u64, u32, RandomState>,
+    slots: Vec<Slot>,
+    /// Index of each destination's slot.
+    slot_index: HashMap<u64, u32, RandomState>,
     hand: usize,
-    most: usize,
+    capacity: usize,
 }
 
 impl ActiveSet {
-    /// Room for so many, one at the least. More may be in use than that, as long as none of them may be forgotten.
-    pub fn new(most: usize) -> ActiveSet {
-        ActiveSet { places: Vec::new(), at: HashMap::default(), hand: 0, most: most.max(1) }
+    /// Creates a set for `capacity` destinations, at least one. The set may exceed its capacity as long as
+    /// none of its destinations may be evicted.
+    pub fn new(capacity: usize) -> ActiveSet {
+        ActiveSet { slots: Vec::new(), slot_index: HashMap::default(), hand: 0, capacity: capacity.max(1) }
     }
 
-    /// Destinations in use.
+    /// Returns the number of active destinations.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.slots.len()
     }
 
-    /// None is.
+    /// Returns whether no destination is active.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.slots.is_empty()
     }
 
-    /// Whether one more has room.
+    /// Returns whether the set has capacity for one more destination.
     pub fn has_room(&self) -> bool {
-        self.places.len() < self.most
+        self.slots.len() < self.capacity
     }
 
-    /// Whether more are in use than there is room for.
-    pub fn is_crowded(&self) -> bool {
-        self.places.len() > self.most
+    /// Returns whether the set exceeds its capacity.
+    pub fn is_over_capacity(&self) -> bool {
+        self.slots.len() > self.capacity
     }
 
-    /// Whether it is in use.
-    pub fn has(&self, destination: u64) -> bool {
-        self.at.contains_key(&destination)
+    /// Returns whether the destination is active.
+    pub fn contains(&self, destination: u64) -> bool {
+        self.slot_index.contains_key(&destination)
     }
 
-    /// It is used just now. Whether it was in use already.
-    pub fn mark(&mut self, destination: u64) -> bool {
-        let place = self.at.get(&destination).and_then(|at| self.places.get_mut(*at as usize));
-        place.map(|place| place.used = true).is_some()
+    /// Records a use of the destination. Returns whether it is active.
+    pub fn touch(&mut self, destination: u64) -> bool {
+        let slot = self.slot_index.get(&destination).and_then(|index| self.slots.get_mut(*index as usize));
+        slot.map(|slot| slot.referenced = true).is_some()
     }
 
-    /// It comes into use.
-    pub fn add(&mut self, destination: u64) {
-        if self.mark(destination) {
+    /// Adds the destination, or records a use of it if it is active already.
+    pub fn insert(&mut self, destination: u64) {
+        if self.touch(destination) {
             return;
         }
-        self.at.insert(destination, self.places.len() as u32);
-        self.places.push(Place { destination, used: true });
+        self.slot_index.insert(destination, self.slots.len() as u32);
+        self.slots.push(Slot { destination, referenced: true });
     }
 
-    /// Takes those out that are one too many, not used for longest, and of which `may` says that they may go.
-    pub fn shrink(&mut self, mut may: impl FnMut(u64) -> bool) {
-        let mut looks = LOOKS;
-        while self.places.len() > self.most && looks > 0 {
-            looks -= 1;
-            self.hand = if self.hand < self.places.len() { self.hand } else { 0 };
-            let Some(place) = self.places.get_mut(self.hand) else { return };
-            if std::mem::take(&mut place.used) || !may(place.destination) {
+    /// Evicts destinations until the set is within its capacity: the least recently used first, and only
+    /// those for which `may_evict` returns true.
+    pub fn evict_surplus(&mut self, mut may_evict: impl FnMut(u64) -> bool) {
+        let mut remaining = MAX_EXAMINED_SLOTS;
+        while self.slots.len() > self.capacity && remaining > 0 {
+            remaining -= 1;
+            self.hand = if self.hand < self.slots.len() { self.hand } else { 0 };
+            let Some(slot) = self.slots.get_mut(self.hand) else { return };
+            if std::mem::take(&mut slot.referenced) || !may_evict(slot.destination) {
                 self.hand += 1;
                 continue;
             }
-            let gone = self.places.swap_remove(self.hand).destination;
-            self.at.remove(&gone);
-            if let Some(moved) = self.places.get(self.hand) {
-                self.at.insert(moved.destination, self.hand as u32);
+            let evicted = self.slots.swap_remove(self.hand).destination;
+            self.slot_index.remove(&evicted);
+            if let Some(moved) = self.slots.get(self.hand) {
+                self.slot_index.insert(moved.destination, self.hand as u32);
             }
         }
     }
--- a/crates/membership/src/catalog.rs
+++ b/crates/membership/src/catalog.rs
@@ -1,39 +1,42 @@
-//! All hosts that are listed, in a compact form: a row of fixed size each, names in one arena, zones and kinds as numbers, and
-//! two tables of row numbers, by name and by destination. The tables keep hashes only, so each look-up compares the name itself.
+//! A compact catalog of all listed hosts. Each host has a record of fixed size; names are in one arena, and
+//! zones and kinds are interned. Two hash tables hold indices of records, by name and by destination. The
+//! tables store no keys, so each look-up compares the key in the record.
 
 use crate::list::{Entry, Status};
 use foldhash::fast::RandomState;
-use hashbrown::hash_table::{Entry as Slot, HashTable};
+use hashbrown::hash_table::{Entry as TableEntry, HashTable};
 use std::collections::HashMap;
 use std::hash::BuildHasher;
 use std::net::{IpAddr, SocketAddr};
 
-/// The longest name, in bytes. Those in use have ten.
-const MOST_NAME: usize = u16::MAX as usize;
-/// Different zones, and different kinds. A list of more is no list: the rest counts as unknown.
-const MOST_WORDS: usize = 4096;
-/// No row.
-const NONE: u32 = u32::MAX;
-/// Rows are made room for in steps of this part of them: doubling would hold twice the memory at the worst.
-const GROWTH: usize = 8;
-
-/// An address in eight bytes; what does not fit stands beside the rows.
+/// Maximum length of a host name. Usual names have ten bytes.
+const MAX_NAME_BYTES: usize = u16::MAX as usize;
+/// Maximum number of distinct zones, and of distinct kinds. Any further one counts as unknown: a list with
+/// more of them is malformed.
+const MAX_INTERNED_NAMES: usize = 4096;
+/// Index that refers to no record.
+const NO_RECORD: u32 = u32::MAX;
+/// Records and names grow by this fraction (one eighth) of their size: doubling would take twice the memory
+/// in the worst case.
+const GROWTH_DIVISOR: usize = 8;
+
+/// An address in eight bytes. Addresses that do not fit are in [`Catalog::ipv6_addresses`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Address {
     V4([u8; 4], u16),
-    Apart,
+    Ipv6,
 }
 
 #[derive(Clone, Debug)]
-struct Row {
-    group: u64,
+struct HostRecord {
+    destination: u64,
     weight: f64,
     since_ms: f64,
-    name_at: u32,
-    /// The next host of the same destination.
+    name_offset: u32,
+    /// Index of the next host of the same destination.
     next: u32,
-    /// The whole list that named it last.
-    named: u32,
+    /// Number of the last full list that contained the host.
+    last_full_list: u32,
     name_len: u16,
     zone: u16,
     kind: u16,
@@ -41,349 +44,379 @@
     address: Address,
 }
 
-/// What a new entry changed.
+/// What [`Catalog::upsert`] changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Put {
-    /// Nothing.
-    Same,
-    /// The host was not listed.
-    New,
-    /// It was, with something else, in this destination.
-    Changed {
-        /// The destination before.
-        group: u64,
+pub enum Upsert {
+    /// The entry equals the one in the catalog, or is not accepted.
+    Unchanged,
+    /// The host was not in the catalog.
+    Inserted,
+    /// The host was in the catalog with other values.
+    Updated {
+        /// The destination that the host belonged to before.
+        previous_destination: u64,
     },
 }
 
-/// Words as numbers.
+/// Interns strings: stores each distinct one once and refers to it by a number.
 #[derive(Clone, Debug, Default)]
-struct Words {
-    all: Vec<Box<str>>,
-    by: HashMap<Box<str>, u16>,
+struct Interner {
+    strings: Vec<Box<str>>,
+    numbers: HashMap<Box<str>, u16>,
 }
 
-impl Words {
-    fn number(&mut self, word: &str) -> u16 {
-        if let Some(number) = self.by.get(word) {
+impl Interner {
+    fn intern(&mut self, text: &str) -> u16 {
+        if let Some(number) = self.numbers.get(text) {
             return *number;
         }
-        if self.all.len() >= MOST_WORDS {
+        if self.strings.len() >= MAX_INTERNED_NAMES {
             return u16::MAX;
         }
-        let number = self.all.len() as u16;
-        self.all.push(word.into());
-        self.by.insert(word.into(), number);
+        let number = self.strings.len() as u16;
+        self.strings.push(text.into());
+        self.numbers.insert(text.into(), number);
         number
     }
 
-    fn word(&self, number: u16) -> &str {
-        self.all.get(usize::from(number)).map_or("", |w| w)
+    fn resolve(&self, number: u16) -> &str {
+        self.strings.get(usize::from(number)).map_or("", |text| text)
     }
 }
 
-/// See the module's page.
+/// All listed hosts. See the module's documentation.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
-    rows: Vec<Row>,
+    records: Vec<HostRecord>,
+    /// Indices of unused records.
     free: Vec<u32>,
+    /// The arena of host names.
     names: Vec<u8>,
-    /// Bytes of the arena that belong to no row any more.
-    waste: usize,
-    zones: Words,
-    kinds: Words,
-    apart: HashMap<u32, SocketAddr>,
+    /// Bytes of the arena that belong to removed hosts.
+    wasted_bytes: usize,
+    zones: Interner,
+    kinds: Interner,
+    /// Addresses of hosts with [`Address::Ipv6`], by index of the record.
+    ipv6_addresses: HashMap<u32, SocketAddr>,
     by_name: HashTable<u32>,
-    /// The first host of each destination.
-    by_group: HashTable<u32>,
+    /// Index of the first host of each destination.
+    by_destination: HashTable<u32>,
     hash: RandomState,
-    /// The whole list that is being read.
-    list: u32,
+    /// Number of the full list that is being applied.
+    full_list: u32,
 }
 
 impl Catalog {
-    /// Hosts that are listed.
+    /// Returns the number of listed hosts.
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
 
-    /// None is.
+    /// Returns whether no host is listed.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
 
-    /// Destinations that have one.
+    /// Returns the number of destinations that have a host.
     pub fn destinations(&self) -> usize {
-        self.by_group.len()
+        self.by_destination.len()
     }
 
-    /// What it takes, in bytes, with the room that it keeps.
+    /// Returns the memory that the catalog takes, in bytes, including reserved capacity.
     pub fn bytes(&self) -> usize {
-        let tables = self.by_name.allocation_size() + self.by_group.allocation_size();
-        self.rows.capacity() * size_of::<Row>() + self.names.capacity() + tables + self.free.capacity() * 4
+        let tables = self.by_name.allocation_size() + self.by_destination.allocation_size();
+        self.records.capacity() * size_of::<HostRecord>()
+            + self.names.capacity()
+            + tables
+            + self.free.capacity() * 4
     }
 
-    fn row(&self, at: u32) -> Option<&Row> {
-        self.rows.get(at as usize)
+    fn record(&self, index: u32) -> Option<&HostRecord> {
+        self.records.get(index as usize)
     }
 
-    fn name(&self, row: &Row) -> &str {
-        let at = row.name_at as usize;
-        let bytes = self.names.get(at..at + usize::from(row.name_len)).unwrap_or_default();
+    fn name(&self, record: &HostRecord) -> &str {
+        let offset = record.name_offset as usize;
+        let bytes = self.names.get(offset..offset + usize::from(record.name_len)).unwrap_or_default();
         std::str::from_utf8(bytes).unwrap_or_default()
     }
 
-    fn at(&self, name: &str) -> Option<u32> {
+    fn find(&self, name: &str) -> Option<u32> {
         let hash = self.hash.hash_one(name);
-        self.by_name.find(hash, |at| self.row(*at).is_some_and(|r| self.name(r) == name)).copied()
+        self.by_name
+            .find(hash, |index| self.record(*index).is_some_and(|record| self.name(record) == name))
+            .copied()
     }
 
-    fn first(&self, group: u64) -> Option<u32> {
-        let hash = self.hash.hash_one(group);
-        self.by_group.find(hash, |at| self.row(*at).is_some_and(|r| r.group == group)).copied()
+    fn first_host(&self, destination: u64) -> Option<u32> {
+        let hash = self.hash.hash_one(destination);
+        self.by_destination
+            .find(hash, |index| self.record(*index).is_some_and(|record| record.destination == destination))
+            .copied()
     }
 
-    fn entry(&self, at: u32) -> Option<Entry> {
-        let row = self.row(at)?;
-        let address = match row.address {
+    fn entry(&self, index: u32) -> Option<Entry> {
+        let record = self.record(index)?;
+        let address = match record.address {
             Address::V4(ip, port) => SocketAddr::from((ip, port)),
-            Address::Apart => *self.apart.get(&at)?,
+            Address::Ipv6 => *self.ipv6_addresses.get(&index)?,
         };
         Some(Entry {
-            name: self.name(row).into(),
+            name: self.name(record).into(),
             address,
-            zone: self.zones.word(row.zone).into(),
-            kind: self.kinds.word(row.kind).into(),
-            group: row.group,
-            status: row.status,
-            weight: row.weight,
-            since_ms: row.since_ms,
+            zone: self.zones.resolve(record.zone).into(),
+            kind: self.kinds.resolve(record.kind).into(),
+            group: record.destination,
+            status: record.status,
+            weight: record.weight,
+            since_ms: record.since_ms,
         })
     }
 
-    /// What is listed of a host.
+    /// Returns the entry of a host.
     pub fn get(&self, name: &str) -> Option<Entry> {
-        self.at(name).and_then(|at| self.entry(at))
+        self.find(name).and_then(|index| self.entry(index))
     }
 
-    /// A host's destination, its state, and when it started as told.
-    pub fn state(&self, name: &str) -> Option<(u64, Status, f64)> {
-        self.at(name).and_then(|at| self.row(at)).map(|r| (r.group, r.status, r.since_ms))
+    /// Returns a host's destination, its status, and its last start as listed.
+    pub fn status_of(&self, name: &str) -> Option<(u64, Status, f64)> {
+        self.find(name)
+            .and_then(|index| self.record(index))
+            .map(|record| (record.destination, record.status, record.since_ms))
     }
 
-    /// The hosts of a destination, by name.
-    pub fn of(&self, group: u64) -> Vec<Entry> {
+    /// Returns the hosts of a destination, sorted by name.
+    pub fn hosts_of(&self, destination: u64) -> Vec<Entry> {
         let mut found = Vec::new();
-        let mut at = self.first(group).unwrap_or(NONE);
-        while let Some(row) = self.row(at) {
-            found.extend(self.entry(at));
-            at = row.next;
+        let mut index = self.first_host(destination).unwrap_or(NO_RECORD);
+        while let Some(record) = self.record(index) {
+            found.extend(self.entry(index));
+            index = record.next;
         }
         found.sort_by(|a, b| a.name.cmp(&b.name));
         found
     }
 
-    /// Whether a destination has a host.
-    pub fn has(&self, group: u64) -> bool {
-        self.first(group).is_some()
+    /// Returns whether a destination has a host.
+    pub fn has_hosts(&self, destination: u64) -> bool {
+        self.first_host(destination).is_some()
     }
 
-    /// All hosts, in no order.
-    pub fn walk(&self) -> impl Iterator<Item = Entry> + '_ {
-        self.by_name.iter().filter_map(|at| self.entry(*at))
+    /// Returns all hosts, in no particular order.
+    pub fn hosts(&self) -> impl Iterator<Item = Entry> + '_ {
+        self.by_name.iter().filter_map(|index| self.entry(*index))
     }
 
-    /// A host as it is listed now. One whose name is longer than 65,535 bytes is not taken.
-    pub fn put(&mut self, e: &Entry) -> Put {
-        if e.name.len() > MOST_NAME {
-            return Put::Same;
+    /// Inserts or updates a host. An entry whose name is longer than 65,535 bytes is ignored.
+    pub fn upsert(&mut self, entry: &Entry) -> Upsert {
+        if entry.name.len() > MAX_NAME_BYTES {
+            return Upsert::Unchanged;
         }
-        let (zone, kind) = (self.zones.number(&e.zone), self.kinds.number(&e.kind));
-        let address = match e.address.ip() {
-            IpAddr::V4(ip) => Address::V4(ip.octets(), e.address.port()),
-            IpAddr::V6(_) => Address::Apart,
+        let (zone, kind) = (self.zones.intern(&entry.zone), self.kinds.intern(&entry.kind));
+        let address = match entry.address.ip() {
+            IpAddr::V4(ip) => Address::V4(ip.octets(), entry.address.port()),
+            IpAddr::V6(_) => Address::Ipv6,
         };
-        let list = self.list;
-        let Some(at) = self.at(&e.name) else {
-            let row = Row {
-                group: e.group,
-                weight: e.weight,
-                since_ms: e.since_ms,
-                name_at: self.names.len() as u32,
-                next: NONE,
-                named: list,
-                name_len: e.name.len() as u16,
+        let full_list = self.full_list;
+        let Some(index) = self.find(&entry.name) else {
+            let record = HostRecord {
+                destination: entry.group,
+                weight: entry.weight,
+                since_ms: entry.since_ms,
+                name_offset: self.names.len() as u32,
+                next: NO_RECORD,
+                last_full_list: full_list,
+                name_len: entry.name.len() as u16,
                 zone,
                 kind,
-                status: e.status,
+                status: entry.status,
                 address,
             };
-            self.add(row, e);
-            return Put::New;
+            self.add(record, entry);
+            return Upsert::Inserted;
         };
-        let apart = (address == Address::Apart).then_some(e.address);
-        let apart_before = self.apart.get(&at).copied();
-        let Some(row) = self.rows.get_mut(at as usize) else { return Put::Same };
-        row.named = list;
-        let now = (e.group, e.weight.to_bits(), e.since_ms.to_bits(), zone, kind, e.status, address);
-        let was = (
-            row.group,
-            row.weight.to_bits(),
-            row.since_ms.to_bits(),
-            row.zone,
-            row.kind,
-            row.status,
-            row.address,
+        let ipv6_address = (address == Address::Ipv6).then_some(entry.address);
+        let ipv6_address_before = self.ipv6_addresses.get(&index).copied();
+        let Some(record) = self.records.get_mut(index as usize) else { return Upsert::Unchanged };
+        record.last_full_list = full_list;
+        let updated = (
+            entry.group,
+            entry.weight.to_bits(),
+            entry.since_ms.to_bits(),
+            zone,
+            kind,
+            entry.status,
+            address,
+        );
+        let current = (
+            record.destination,
+            record.weight.to_bits(),
+            record.since_ms.to_bits(),
+            record.zone,
+            record.kind,
+            record.status,
+            record.address,
         );
-        if now == was && apart == apart_before {
-            return Put::Same;
+        if updated == current && ipv6_address == ipv6_address_before {
+            return Upsert::Unchanged;
         }
-        let group = row.group;
-        (row.weight, row.since_ms, row.zone, row.kind) = (e.weight, e.since_ms, zone, kind);
-        (row.status, row.address) = (e.status, address);
-        match apart {
-            Some(address) => drop(self.apart.insert(at, address)),
-            None => drop(self.apart.remove(&at)),
+        let previous_destination = record.destination;
+        (record.weight, record.since_ms, record.zone, record.kind) =
+            (entry.weight, entry.since_ms, zone, kind);
+        (record.status, record.address) = (entry.status, address);
+        match ipv6_address {
+            Some(address) => drop(self.ipv6_addresses.insert(index, address)),
+            None => drop(self.ipv6_addresses.remove(&index)),
         }
-        if group != e.group {
-            self.unlink(at, group);
-            self.link(at, e.group);
+        if previous_destination != entry.group {
+            self.unlink(index, previous_destination);
+            self.link(index, entry.group);
         }
-        Put::Changed { group }
+        Upsert::Updated { previous_destination }
     }
 
-    fn add(&mut self, row: Row, e: &Entry) {
-        let hash = self.hash.hash_one(e.name.as_str());
-        if self.names.len() + e.name.len() > self.names.capacity() {
-            self.names.reserve_exact(e.name.len().max(1024).max(self.names.len() / GROWTH));
+    fn add(&mut self, record: HostRecord, entry: &Entry) {
+        let hash = self.hash.hash_one(entry.name.as_str());
+        if self.names.len() + entry.name.len() > self.names.capacity() {
+            self.names.reserve_exact(entry.name.len().max(1024).max(self.names.len() / GROWTH_DIVISOR));
         }
-        self.names.extend_from_slice(e.name.as_bytes());
-        let at = match self.free.pop() {
-            Some(at) => {
-                if let Some(place) = self.rows.get_mut(at as usize) {
-                    *place = row;
+        self.names.extend_from_slice(entry.name.as_bytes());
+        let index = match self.free.pop() {
+            Some(index) => {
+                if let Some(unused) = self.records.get_mut(index as usize) {
+                    *unused = record;
                 }
-                at
+                index
             }
             None => {
-                if self.rows.len() == self.rows.capacity() {
-                    self.rows.reserve_exact((self.rows.len() / GROWTH).max(16));
+                if self.records.len() == self.records.capacity() {
+                    self.records.reserve_exact((self.records.len() / GROWTH_DIVISOR).max(16));
                 }
-                self.rows.push(row);
-                self.rows.len() as u32 - 1
+                self.records.push(record);
+                self.records.len() as u32 - 1
             }
         };
-        if e.address.is_ipv6() {
-            self.apart.insert(at, e.address);
+        if entry.address.is_ipv6() {
+            self.ipv6_addresses.insert(index, entry.address);
         }
-        let (rows, names, hasher) = (&self.rows, &self.names, &self.hash);
-        let name = |at: &u32| {
-            let row = rows.get(*at as usize);
-            let bytes =
-                row.and_then(|r| names.get(r.name_at as usize..r.name_at as usize + usize::from(r.name_len)));
+        let (records, names, hasher) = (&self.records, &self.names, &self.hash);
+        let name = |index: &u32| {
+            let record = records.get(*index as usize);
+            let bytes = record.and_then(|record| {
+                names.get(
+                    record.name_offset as usize..record.name_offset as usize + usize::from(record.name_len),
+                )
+            });
             hasher.hash_one(std::str::from_utf8(bytes.unwrap_or_default()).unwrap_or_default())
         };
-        self.by_name.insert_unique(hash, at, name);
-        self.link(at, e.group);
+        self.by_name.insert_unique(hash, index, name);
+        self.link(index, entry.group);
     }
 
-    /// Puts a row first among those of its destination.
-    fn link(&mut self, at: u32, group: u64) {
-        let hash = self.hash.hash_one(group);
-        let (rows, hasher) = (&self.rows, &self.hash);
-        let of = |at: &u32| rows.get(*at as usize).map(|r| r.group);
-        let slot = self.by_group.entry(
+    /// Makes a record the first one of its destination.
+    fn link(&mut self, index: u32, destination: u64) {
+        let hash = self.hash.hash_one(destination);
+        let (records, hasher) = (&self.records, &self.hash);
+        let destination_of = |index: &u32| records.get(*index as usize).map(|record| record.destination);
+        let slot = self.by_destination.entry(
             hash,
-            |at| of(at) == Some(group),
-            |at| hasher.hash_one(of(at).unwrap_or_default()),
+            |index| destination_of(index) == Some(destination),
+            |index| hasher.hash_one(destination_of(index).unwrap_or_default()),
         );
         let next = match slot {
-            Slot::Occupied(mut first) => std::mem::replace(first.get_mut(), at),
-            Slot::Vacant(place) => {
-                place.insert(at);
-                NONE
+            TableEntry::Occupied(mut first) => std::mem::replace(first.get_mut(), index),
+            TableEntry::Vacant(vacant) => {
+                vacant.insert(index);
+                NO_RECORD
             }
         };
-        if let Some(row) = self.rows.get_mut(at as usize) {
-            (row.group, row.next) = (group, next);
+        if let Some(record) = self.records.get_mut(index as usize) {
+            (record.destination, record.next) = (destination, next);
         }
     }
 
-    fn unlink(&mut self, at: u32, group: u64) {
-        let after = self.row(at).map_or(NONE, |r| r.next);
-        let Some(first) = self.first(group) else { return };
-        if first == at {
-            let hash = self.hash.hash_one(group);
-            let rows = &self.rows;
-            let found =
-                self.by_group.find_entry(hash, |x| rows.get(*x as usize).is_some_and(|r| r.group == group));
+    fn unlink(&mut self, index: u32, destination: u64) {
+        let after = self.record(index).map_or(NO_RECORD, |record| record.next);
+        let Some(first) = self.first_host(destination) else { return };
+        if first == index {
+            let hash = self.hash.hash_one(destination);
+            let records = &self.records;
+            let found = self.by_destination.find_entry(hash, |found| {
+                records.get(*found as usize).is_some_and(|record| record.destination == destination)
+            });
             if let Ok(mut found) = found {
                 match after {
-                    NONE => drop(found.remove()),
+                    NO_RECORD => drop(found.remove()),
                     after => *found.get_mut() = after,
                 }
             }
             return;
         }
         let mut before = first;
-        while let Some(row) = self.rows.get_mut(before as usize) {
-            if row.next == at {
-                row.next = after;
+        while let Some(record) = self.records.get_mut(before as usize) {
+            if record.next == index {
+                record.next = after;
                 return;
             }
-            before = row.next;
+            before = record.next;
         }
     }
 
-    /// Takes a host out, and gives what was listed of it.
+    /// Removes a host. Returns its entry.
     pub fn remove(&mut self, name: &str) -> Option<Entry> {
-        let at = self.at(name)?;
-        let entry = self.entry(at)?;
+        let index = self.find(name)?;
+        let entry = self.entry(index)?;
         let hash = self.hash.hash_one(name);
-        if let Ok(found) = self.by_name.find_entry(hash, |x| *x == at) {
+        if let Ok(found) = self.by_name.find_entry(hash, |found| *found == index) {
             found.remove();
         }
-        self.unlink(at, entry.group);
-        self.apart.remove(&at);
-        self.free.push(at);
-        self.waste += name.len();
-        if self.waste > 4096 && self.waste * 2 > self.names.len() {
+        self.unlink(index, entry.group);
+        self.ipv6_addresses.remove(&index);
+        self.free.push(index);
+        self.wasted_bytes += name.len();
+        if self.wasted_bytes > 4096 && self.wasted_bytes * 2 > self.names.len() {
             self.compact();
         }
         Some(entry)
     }
 
-    /// Leaves the names of hosts out that are listed no more.
+    /// Drops the names of removed hosts from the arena.
     fn compact(&mut self) {
-        let mut names = Vec::with_capacity(self.names.len() - self.waste);
-        for at in self.by_name.iter() {
-            let Some(row) = self.rows.get_mut(*at as usize) else { continue };
-            let from = row.name_at as usize;
-            row.name_at = names.len() as u32;
+        let mut names = Vec::with_capacity(self.names.len() - self.wasted_bytes);
+        for index in self.by_name.iter() {
+            let Some(record) = self.records.get_mut(*index as usize) else { continue };
+            let from = record.name_offset as usize;
+            record.name_offset = names.len() as u32;
             names.extend_from_slice(
-                self.names.get(from..from + usize::from(row.name_len)).unwrap_or_default(),
+                self.names.get(from..from + usize::from(record.name_len)).unwrap_or_default(),
             );
         }
-        (self.names, self.waste) = (names, 0);
+        (self.names, self.wasted_bytes) = (names, 0);
     }
 
-    /// A whole list begins: what is not named from now on, by [`Catalog::mark`] or [`Catalog::put`], is not in it.
-    pub fn whole(&mut self) {
-        self.list = self.list.wrapping_add(1);
+    /// Begins a full list. A host that is not passed to [`Catalog::mark_listed`] or [`Catalog::upsert`] from
+    /// now on is not in it.
+    pub fn begin_full_list(&mut self) {
+        self.full_list = self.full_list.wrapping_add(1);
     }
 
-    /// The whole list names this host.
-    pub fn mark(&mut self, name: &str) {
-        let list = self.list;
-        let row = self.at(name).and_then(|at| self.rows.get_mut(at as usize));
-        row.into_iter().for_each(|row| row.named = list);
+    /// Records that the full list contains this host.
+    pub fn mark_listed(&mut self, name: &str) {
+        let full_list = self.full_list;
+        let record = self.find(name).and_then(|index| self.records.get_mut(index as usize));
+        record.into_iter().for_each(|record| record.last_full_list = full_list);
     }
 
-    /// Hosts that the whole list has not named, by name.
-    pub fn unnamed(&self) -> Vec<String> {
-        let list = self.list;
-        let unnamed = self.by_name.iter().filter_map(|at| self.row(*at)).filter(|r| r.named != list);
-        let mut unnamed: Vec<String> = unnamed.map(|r| self.name(r).to_string()).collect();
-        unnamed.sort_unstable();
-        unnamed
+    /// Returns the names of hosts that the full list does not contain, sorted.
+    pub fn unlisted(&self) -> Vec<String> {
+        let full_list = self.full_list;
+        let unlisted = self
+            .by_name
+            .iter()
+            .filter_map(|index| self.record(*index))
+            .filter(|record| record.last_full_list != full_list);
+        let mut unlisted: Vec<String> = unlisted.map(|record| self.name(record).to_string()).collect();
+        unlisted.sort_unstable();
+        unlisted
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,8 +1,8 @@
-//! The membership view of one relay: which hosts are listed ([`Catalog`]), who is believed about them ([`Members`]), and
-//! which destinations are in use ([`ActiveSet`]). No I/O, no clock; times are arguments.
+//! The membership view of one relay: the listed hosts ([`Catalog`]), which source is trusted about them
+//! ([`Members`]), and the active destinations ([`ActiveSet`]). No I/O, no clock; times are arguments.
 //!
-//! What is listed costs some hundred bytes a host and nothing more; what decides and carries knows a destination only while
-//! it is used. A change costs what it changes.
+//! A listed host takes about a hundred bytes of memory. The decision module and the carrier know a
+//! destination only while it is active. Applying a change takes time in proportion to what it changes.
 
 mod active_set;
 mod catalog;
@@ -11,7 +11,7 @@
 mod view;
 
 pub use active_set::ActiveSet;
-pub use catalog::{Catalog, Put};
+pub use catalog::{Catalog, Upsert};
 pub use list::{Entry, List, ListNames, Status};
 pub use members::{AppliedUpdate, Members, Tombstone};
 pub use view::View;
--- a/crates/membership/src/list.rs
+++ b/crates/membership/src/list.rs
@@ -1,19 +1,19 @@
-//! Discovery's list, as it stands on the socket and in the configuration.
+//! The list of hosts, in the form in which discovery sends it and the configuration holds it.
 
 use linenhall::{Endpoint, EndpointStatus, ListUpdate};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A whole list, or what changed.
+/// A full list of hosts, or a list of changes.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct List {
-    /// Its version.
+    /// The list's version.
     #[serde(default)]
     pub index: u64,
-    /// Whether it is whole: what is missing is gone.
+    /// Whether the list is a full one: a host that is missing in it has been removed.
     #[serde(default)]
     pub snapshot: bool,
-    /// The hosts.
+    /// The hosts, or those of them that changed.
     #[serde(default)]
     pub endpoints: Vec<Entry>,
 }
@@ -21,68 +21,68 @@
 /// One host of the list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Entry {
-    /// Its name.
+    /// The host's name.
     pub name: String,
-    /// Where it listens.
+    /// The address at which the host listens.
     pub address: SocketAddr,
-    /// Its zone, by name.
+    /// The name of the host's zone.
     #[serde(default)]
     pub zone: String,
-    /// The kind of its destination, by name.
+    /// The name of the kind of the host's destination.
     #[serde(default, rename = "type")]
     pub kind: String,
-    /// Its destination.
+    /// The number of the host's destination.
     pub group: u64,
-    /// Its state.
+    /// The host's status.
     pub status: Status,
-    /// See [`linenhall::WeightMeaning`].
-    #[serde(default = "one")]
+    /// The host's weight; [`linenhall::WeightMeaning`] says how it is read.
+    #[serde(default = "default_weight")]
     pub weight: f64,
-    /// When it last started, in milliseconds since 1970; 0 for long ago.
+    /// Time of the host's last start, in milliseconds since 1970; 0 stands for long ago.
     #[serde(default)]
     pub since_ms: f64,
 }
 
-/// State of a host.
+/// Status of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Status {
-    /// Listed.
+    /// The host takes messages.
     Active,
-    /// Drains.
+    /// The host drains: it takes no new messages.
     Leaving,
-    /// Removed.
+    /// The host has been removed.
     Left,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// The names that stand in lists for the module's numbers.
+/// The names of zones and kinds, by the indices that the decision module uses for them.
 #[derive(Clone, Debug, Default)]
 pub struct ListNames {
-    /// Zones, by index.
+    /// Names of zones, by index.
     pub zones: Vec<String>,
-    /// Kinds of destinations, by index.
+    /// Names of kinds of destinations, by index.
     pub kinds: Vec<String>,
 }
 
 impl ListNames {
-    /// The kind's index. An unknown kind counts as the first.
+    /// Returns the index of a kind. An unknown kind counts as the first one.
     pub fn kind(&self, name: &str) -> usize {
-        place(&self.kinds, name)
+        index_of(&self.kinds, name)
     }
 
-    /// An entry as the module knows it. An unknown zone or kind counts as the first.
-    pub fn endpoint(&self, e: &Entry) -> Endpoint {
+    /// Converts an entry for the decision module. An unknown zone or kind counts as the first one.
+    pub fn endpoint(&self, entry: &Entry) -> Endpoint {
         Endpoint {
-            name: e.name.clone(),
-            destination: e.group,
-            zone: place(&self.zones, &e.zone) as u32,
-            kind: self.kind(&e.kind),
-            weight: e.weight,
-            status: match e.status {
+            name: entry.name.clone(),
+            destination: entry.group,
+            zone: index_of(&self.zones, &entry.zone) as u32,
+            kind: self.kind(&entry.kind),
+            weight: entry.weight,
+            status: match entry.status {
                 Status::Active => EndpointStatus::Active,
                 Status::Leaving => EndpointStatus::Draining,
                 Status::Left => EndpointStatus::Removed,
@@ -90,9 +90,9 @@
         }
     }
 
-    /// A list as the module knows it.
+    /// Converts a list for the decision module.
     pub fn discovery(&self, list: &List) -> ListUpdate {
-        let endpoints = list.endpoints.iter().map(|e| self.endpoint(e)).collect();
+        let endpoints = list.endpoints.iter().map(|entry| self.endpoint(entry)).collect();
         match list.snapshot {
             true => ListUpdate::Full(endpoints),
             false => ListUpdate::Delta(endpoints),
@@ -100,6 +100,6 @@
     }
 }
 
-fn place(names: &[String], name: &str) -> usize {
+fn index_of(names: &[String], name: &str) -> usize {
     names.iter().position(|n| n == name).unwrap_or(0)
 }
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,201 +1,219 @@
-//! Which hosts may be sent to, as this relay was told by whoever told it: its configuration at the start, one agent after
-//! another, and earlier processes. What was told to be leaving stays so until somebody who can know better says otherwise.
-//! No I/O; the time comes as an argument, in milliseconds of a clock that goes on over restarts.
+//! Which hosts may be sent to, according to the sources of this relay: its configuration at the start, one
+//! discovery agent after another, and earlier processes. A host that was reported as leaving stays so until a
+//! source with newer information reports otherwise. No I/O; times are arguments, in milliseconds of a clock
+//! that continues over restarts.
 
-use crate::catalog::{Catalog, Put};
+use crate::catalog::{Catalog, Upsert};
 use crate::list::{Entry, List, Status};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// Departures that are remembered, the newest of all. More hosts than these don't leave while an agent lags.
-const MOST_DEPARTED: usize = 128;
-/// The longest name that is remembered. Those in use have ten characters.
-const MOST_NAME: usize = 256;
-/// An agent that never said that a host leaves is believed only after this time. News counts as told 6 s after it is
-/// listed at the latest, or 2 s after the wait of a call, which is 5 s: twice the longer of these, and the pauses between
-/// calls.
-const DOUBT_MS: f64 = 15_000.0;
+/// Maximum number of tombstones; the oldest are dropped. No more hosts than these leave while an agent lags.
+const MAX_TOMBSTONES: usize = 128;
+/// Maximum length of a host's or an agent's name in a tombstone. Usual names have ten characters.
+const MAX_NAME_BYTES: usize = 256;
+/// Time for which a host stays leaving when an agent that did not report its departure lists it as active. An
+/// update has reached an agent at most 6 s after it is listed, or 2 s after the 5 s that a poll waits: this
+/// is twice the longer of the two, plus the pauses between polls.
+const UNCONFIRMED_RETURN_MS: f64 = 15_000.0;
 
-/// A host that was told to be leaving or gone.
+/// Record of a host that was reported as leaving or removed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tombstone {
-    /// Its name.
+    /// The host's name.
     pub name: String,
-    /// When it had last started, as told; a later start is another life of it.
+    /// The host's last start as reported, in milliseconds since 1970. A host that starts later is a new
+    /// instance, to which the tombstone does not apply.
     pub since_ms: f64,
-    /// Who told it, and in which version of its list.
+    /// The address of the agent that reported the departure.
     pub agent: String,
-    /// See [`Tombstone::agent`].
+    /// The version of that agent's list.
     pub index: u64,
 }
 
-/// What an agent has told.
+/// Result of applying an agent's list.
 #[derive(Clone, Debug)]
 pub struct AppliedUpdate {
-    /// What is new by it: changes, those of a whole list too.
+    /// The changes that the list brings, as a list of changes even if the agent's list was a full one.
     pub list: List,
-    /// Hosts that are of another destination now: of which they were, and of which they are.
+    /// For each host that has moved to another destination: the previous destination and the new one.
     pub moved: Vec<(u64, u64)>,
     /// Whether [`Members::tombstones`] has changed.
     pub tombstones_changed: bool,
 }
 
-/// A host that an agent lists as active against what was told before.
-struct Doubted {
+/// A host that an agent lists as active although a tombstone says that it left.
+struct UnconfirmedReturn {
     entry: Entry,
-    /// Believed from then on.
+    /// Time from which the host counts as active.
     until: f64,
 }
 
-/// See the module's page.
+/// The hosts that may be sent to, and the tombstones of those that left. See the module's documentation.
 #[derive(Default)]
 pub struct Members {
-    /// Names by the order in which they were told.
-    departed: BTreeMap<u64, Tombstone>,
-    by_name: HashMap<String, u64>,
-    told: u64,
-    /// What is listed, with those as leaving that are doubted.
+    /// Tombstones by the revision that added them.
+    tombstones: BTreeMap<u64, Tombstone>,
+    /// The revision that added each host's tombstone.
+    revision_by_name: HashMap<String, u64>,
+    /// Number of changes of the tombstones so far.
+    revision: u64,
+    /// The listed hosts. Those with an unconfirmed return are leaving in it.
     catalog: Catalog,
-    doubted: HashMap<String, Doubted>,
+    unconfirmed: HashMap<String, UnconfirmedReturn>,
+    /// The agent whose list was applied last.
     agent: Option<SocketAddr>,
 }
 
 impl Members {
-    /// One that goes on from what an earlier process was told.
-    pub fn from_tombstones(departed: Vec<Tombstone>) -> Members {
+    /// Restores the tombstones of an earlier process.
+    pub fn from_tombstones(tombstones: Vec<Tombstone>) -> Members {
         let mut members = Members::default();
-        departed.into_iter().for_each(|d| members.depart(d));
+        tombstones.into_iter().for_each(|tombstone| members.add_tombstone(tombstone));
         members
     }
 
-    /// Departures to be remembered by a later process, the oldest first.
+    /// Returns the tombstones, the oldest first, to be stored for a later process.
     pub fn tombstones(&self) -> Vec<Tombstone> {
-        self.departed.values().cloned().collect()
+        self.tombstones.values().cloned().collect()
     }
 
-    /// What is listed, with those as leaving of whom nobody who can know better has said that they are back.
+    /// Returns the listed hosts. A host with a tombstone is leaving until a source with newer information
+    /// lists it as active.
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
-    /// Hosts that are remembered as departed, and those that are doubted.
+    /// Returns the number of tombstones, and the number of hosts whose return is unconfirmed.
     pub fn sizes(&self) -> [usize; 2] {
-        [self.departed.len().max(self.by_name.len()), self.doubted.len()]
+        [self.tombstones.len().max(self.revision_by_name.len()), self.unconfirmed.len()]
     }
 
-    /// A list from before the first answer of an agent: a host that was told to be leaving since is leaving there. Gives what
-    /// is new by it.
+    /// Applies a list that is known from before the first answer of an agent: a host with a tombstone is
+    /// leaving in it. Returns the changes.
     pub fn apply_known(&mut self, mut list: List) -> List {
-        for e in list.endpoints.iter_mut().filter(|e| e.status == Status::Active) {
-            let left = self.by_name.get(&e.name).and_then(|n| self.departed.get(n));
-            if left.is_some_and(|d| e.since_ms <= d.since_ms) {
-                e.status = Status::Leaving;
+        for entry in list.endpoints.iter_mut().filter(|entry| entry.status == Status::Active) {
+            let tombstone =
+                self.revision_by_name.get(&entry.name).and_then(|revision| self.tombstones.get(revision));
+            if tombstone.is_some_and(|t| entry.since_ms <= t.since_ms) {
+                entry.status = Status::Leaving;
             }
         }
-        list.endpoints.retain(|e| e.status != Status::Left && self.catalog.put(e) != Put::Same);
+        list.endpoints
+            .retain(|entry| entry.status != Status::Left && self.catalog.upsert(entry) != Upsert::Unchanged);
         List { snapshot: false, ..list }
     }
 
-    /// What an agent tells at `now`. `None` for the empty list at version 0 of an agent that has not been sent one yet: that
-    /// tells nothing. Costs what is told.
+    /// Applies an agent's list at the time `now`. Returns `None` for the empty list at version 0, which comes
+    /// from an agent that has not received a list itself and carries no information. Takes time in proportion
+    /// to the length of the list.
     pub fn apply(&mut self, agent: SocketAddr, list: List, now: f64) -> Option<AppliedUpdate> {
         if list.snapshot && list.endpoints.is_empty() && list.index == 0 {
             return None;
         }
         if self.agent.replace(agent) != Some(agent) {
-            self.doubted.clear();
+            self.unconfirmed.clear();
         }
-        let before = self.told;
+        let revision_before = self.revision;
         let List { index, snapshot, endpoints } = list;
-        let (mut news, mut moved) = (Vec::new(), Vec::new());
+        let (mut changes, mut moved) = (Vec::new(), Vec::new());
         if snapshot {
-            self.catalog.whole();
-            endpoints.iter().for_each(|e| self.catalog.mark(&e.name));
-            for name in self.catalog.unnamed() {
-                self.doubted.remove(&name);
-                let active = self.catalog.state(&name).filter(|x| x.1 == Status::Active);
+            self.catalog.begin_full_list();
+            endpoints.iter().for_each(|entry| self.catalog.mark_listed(&entry.name));
+            for name in self.catalog.unlisted() {
+                self.unconfirmed.remove(&name);
+                let active = self.catalog.status_of(&name).filter(|x| x.1 == Status::Active);
                 if let Some((_, _, since_ms)) = active {
-                    self.leaves(&name, since_ms, agent, index);
+                    self.record_departure(&name, since_ms, agent, index);
                 }
-                let gone = self.catalog.remove(&name);
-                news.extend(gone.map(|e| Entry { status: Status::Left, ..e }));
+                let removed = self.catalog.remove(&name);
+                changes.extend(removed.map(|entry| Entry { status: Status::Left, ..entry }));
             }
         }
-        for mut e in endpoints {
-            if e.status != Status::Active {
-                self.doubted.remove(&e.name);
-                self.leaves(&e.name, e.since_ms, agent, index);
-            } else if self.doubts(&e, agent, index) {
-                let until = now + DOUBT_MS;
-                let doubted = Doubted { entry: e.clone(), until };
-                self.doubted.entry(e.name.clone()).or_insert(doubted).entry = e.clone();
-                e.status = Status::Leaving;
+        for mut entry in endpoints {
+            if entry.status != Status::Active {
+                self.unconfirmed.remove(&entry.name);
+                self.record_departure(&entry.name, entry.since_ms, agent, index);
+            } else if self.contradicts_tombstone(&entry, agent, index) {
+                let until = now + UNCONFIRMED_RETURN_MS;
+                let unconfirmed = UnconfirmedReturn { entry: entry.clone(), until };
+                self.unconfirmed.entry(entry.name.clone()).or_insert(unconfirmed).entry = entry.clone();
+                entry.status = Status::Leaving;
             } else {
-                self.doubted.remove(&e.name);
-                self.returns(&e.name);
+                self.unconfirmed.remove(&entry.name);
+                self.remove_tombstone(&entry.name);
             }
-            self.list(e, &mut news, &mut moved);
+            self.apply_entry(entry, &mut changes, &mut moved);
         }
-        let over: Vec<String> =
-            self.doubted.iter().filter(|(_, d)| d.until <= now).map(|(name, _)| name.clone()).collect();
-        for name in over {
-            let Some(Doubted { entry, .. }) = self.doubted.remove(&name) else { continue };
-            self.returns(&name);
-            self.list(entry, &mut news, &mut moved);
+        let expired: Vec<String> = self
+            .unconfirmed
+            .iter()
+            .filter(|(_, unconfirmed)| unconfirmed.until <= now)
+            .map(|(name, _)| name.clone())
+            .collect();
+        for name in expired {
+            let Some(UnconfirmedReturn { entry, .. }) = self.unconfirmed.remove(&name) else { continue };
+            self.remove_tombstone(&name);
+            self.apply_entry(entry, &mut changes, &mut moved);
         }
-        let list = List { index, snapshot: false, endpoints: news };
-        Some(AppliedUpdate { list, moved, tombstones_changed: self.told != before })
+        let list = List { index, snapshot: false, endpoints: changes };
+        Some(AppliedUpdate { list, moved, tombstones_changed: self.revision != revision_before })
     }
 
-    /// Takes an entry over, and notes whether it is news.
-    fn list(&mut self, e: Entry, news: &mut Vec<Entry>, moved: &mut Vec<(u64, u64)>) {
-        if e.status == Status::Left {
-            // Of the destination that it was known in.
-            let gone = self.catalog.remove(&e.name);
-            return news.extend(gone.map(|gone| Entry { group: gone.group, ..e }));
+    /// Applies one entry to the catalog, and adds what it changes to `changes` and `moved`.
+    fn apply_entry(&mut self, entry: Entry, changes: &mut Vec<Entry>, moved: &mut Vec<(u64, u64)>) {
+        if entry.status == Status::Left {
+            // The change names the destination that the host was listed in.
+            let removed = self.catalog.remove(&entry.name);
+            return changes.extend(removed.map(|removed| Entry { group: removed.group, ..entry }));
         }
-        match self.catalog.put(&e) {
-            Put::Same => return,
-            Put::Changed { group } if group != e.group => moved.push((group, e.group)),
-            Put::New | Put::Changed { .. } => {}
+        match self.catalog.upsert(&entry) {
+            Upsert::Unchanged => return,
+            Upsert::Updated { previous_destination } if previous_destination != entry.group => {
+                moved.push((previous_destination, entry.group))
+            }
+            Upsert::Inserted | Upsert::Updated { .. } => {}
         }
-        news.push(e);
+        changes.push(entry);
     }
 
-    /// Whether an entry that says active goes against what was told by somebody who may know better.
-    fn doubts(&self, e: &Entry, agent: SocketAddr, index: u64) -> bool {
-        let departed = self.by_name.get(&e.name).and_then(|n| self.departed.get(n));
-        let newer = |d: &Tombstone| d.agent == agent.to_string() && index > d.index;
-        departed.is_some_and(|d| e.since_ms <= d.since_ms && !newer(d))
+    /// Returns whether an entry that is listed as active contradicts a tombstone, and is not newer than it:
+    /// neither the host's start nor the version of the same agent's list is later.
+    fn contradicts_tombstone(&self, entry: &Entry, agent: SocketAddr, index: u64) -> bool {
+        let tombstone =
+            self.revision_by_name.get(&entry.name).and_then(|revision| self.tombstones.get(revision));
+        let newer = |t: &Tombstone| t.agent == agent.to_string() && index > t.index;
+        tombstone.is_some_and(|t| entry.since_ms <= t.since_ms && !newer(t))
     }
 
-    fn leaves(&mut self, name: &str, since_ms: f64, agent: SocketAddr, index: u64) {
-        let active = self.catalog.state(name).filter(|x| x.1 == Status::Active);
+    /// Adds a tombstone for a host that is listed as leaving or is no longer listed.
+    fn record_departure(&mut self, name: &str, since_ms: f64, agent: SocketAddr, index: u64) {
+        let active = self.catalog.status_of(name).filter(|x| x.1 == Status::Active);
         let since_ms = active.map_or(since_ms, |x| x.2.max(since_ms));
-        self.depart(Tombstone { name: name.to_string(), since_ms, agent: agent.to_string(), index });
+        self.add_tombstone(Tombstone { name: name.to_string(), since_ms, agent: agent.to_string(), index });
     }
 
-    fn depart(&mut self, departed: Tombstone) {
-        if departed.name.len() > MOST_NAME || departed.agent.len() > MOST_NAME {
+    fn add_tombstone(&mut self, tombstone: Tombstone) {
+        if tombstone.name.len() > MAX_NAME_BYTES || tombstone.agent.len() > MAX_NAME_BYTES {
             return;
         }
-        self.told += 1;
-        if let Some(old) = self.by_name.insert(departed.name.clone(), self.told) {
-            self.departed.remove(&old);
+        self.revision += 1;
+        if let Some(previous) = self.revision_by_name.insert(tombstone.name.clone(), self.revision) {
+            self.tombstones.remove(&previous);
         }
-        self.departed.insert(self.told, departed);
-        if self.departed.len() > MOST_DEPARTED {
-            let oldest = self.departed.pop_first();
-            if let Some((_, d)) = oldest {
-                self.by_name.remove(&d.name);
+        self.tombstones.insert(self.revision, tombstone);
+        if self.tombstones.len() > MAX_TOMBSTONES {
+            let oldest = self.tombstones.pop_first();
+            if let Some((_, tombstone)) = oldest {
+                self.revision_by_name.remove(&tombstone.name);
             }
         }
     }
 
-    fn returns(&mut self, name: &str) {
-        if let Some(number) = self.by_name.remove(name) {
-            self.departed.remove(&number);
-            self.told += 1;
+    fn remove_tombstone(&mut self, name: &str) {
+        if let Some(revision) = self.revision_by_name.remove(name) {
+            self.tombstones.remove(&revision);
+            self.revision += 1;
         }
     }
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,5 +1,6 @@
-//! What one relay holds of all that is listed, and what of it those who decide and carry are told: the hosts of the destinations
-//! in use. As long as there is room for all destinations that are listed, all are in use from the first list on.
+//! The membership view of one relay: all listed hosts, of which the decision module and the carrier receive
+//! those of the active destinations. As long as all listed destinations fit into the active set, all of them
+//! are active from the first list on.
 
 use crate::active_set::ActiveSet;
 use crate::list::{Entry, List, Status};
@@ -7,106 +8,116 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// See the module's page.
+/// The listed hosts and the active destinations. See the module's documentation.
 pub struct View {
     members: Members,
-    used: ActiveSet,
-    /// The version of the list that was taken in last.
+    active: ActiveSet,
+    /// The version of the list that was applied last.
     index: u64,
 }
 
 impl View {
-    /// Goes on from departures that an earlier process was told; `most` destinations are in use at once.
-    pub fn new(departed: Vec<Tombstone>, most: usize) -> View {
-        View { members: Members::from_tombstones(departed), used: ActiveSet::new(most), index: 0 }
+    /// Restores the tombstones of an earlier process. At most `max_active` destinations are active at once.
+    pub fn new(tombstones: Vec<Tombstone>, max_active: usize) -> View {
+        View { members: Members::from_tombstones(tombstones), active: ActiveSet::new(max_active), index: 0 }
     }
 
-    /// Who is believed, and what is listed.
+    /// Returns the listed hosts and the tombstones.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// Destinations in use.
+    /// Returns the number of active destinations.
     pub fn used(&self) -> usize {
-        self.used.len()
+        self.active.len()
     }
 
-    /// The list as it stands, whole; `None` if it has more hosts than that.
-    pub fn list(&self, most: usize) -> Option<List> {
+    /// Returns the current list in full, or `None` if it has more than `max_hosts` hosts.
+    pub fn list(&self, max_hosts: usize) -> Option<List> {
         let catalog = self.members.catalog();
-        if catalog.len() > most {
+        if catalog.len() > max_hosts {
             return None;
         }
-        let mut endpoints: Vec<Entry> = catalog.walk().collect();
+        let mut endpoints: Vec<Entry> = catalog.hosts().collect();
         endpoints.sort_by(|a, b| a.name.cmp(&b.name));
         Some(List { index: self.index, snapshot: true, endpoints })
     }
 
-    /// See [`Members::apply_known`].
+    /// Applies a known list as [`Members::apply_known`] does. Returns the changes at active destinations.
     pub fn apply_known(&mut self, list: List) -> List {
         self.index = list.index;
         let list = self.members.apply_known(list);
-        self.of_use(list, &[])
+        self.restrict_to_active(list, &[])
     }
 
-    /// See [`Members::apply`]; what is told on is of destinations in use.
+    /// Applies an agent's list as [`Members::apply`] does. The list that is returned has the changes at
+    /// active destinations only.
     pub fn apply(&mut self, agent: SocketAddr, list: List, now: f64) -> Option<AppliedUpdate> {
         let AppliedUpdate { list, moved, tombstones_changed } = self.members.apply(agent, list, now)?;
         self.index = list.index;
-        let list = self.of_use(list, &moved);
+        let list = self.restrict_to_active(list, &moved);
         Some(AppliedUpdate { list, moved, tombstones_changed })
     }
 
-    fn of_use(&mut self, list: List, moved: &[(u64, u64)]) -> List {
-        let mut fresh: HashSet<u64> = HashSet::new();
-        // Whoever knows a host in the one destination has to hear that it is of another one, and all of that.
+    /// Restricts changes to active destinations. Activates destinations while there is room, and those to
+    /// which a host of an active destination has moved; all hosts of a newly active destination are returned.
+    fn restrict_to_active(&mut self, list: List, moved: &[(u64, u64)]) -> List {
+        let mut activated: HashSet<u64> = HashSet::new();
+        // The module and the carrier know the host in its previous destination: they have to learn that it
+        // has moved, and all hosts of the new destination.
         for (from, to) in moved {
-            if self.used.has(*from) && !self.used.has(*to) {
-                self.used.add(*to);
-                fresh.insert(*to);
+            if self.active.contains(*from) && !self.active.contains(*to) {
+                self.active.insert(*to);
+                activated.insert(*to);
             }
         }
-        let mut endpoints: Vec<Entry> = fresh.iter().flat_map(|to| self.members.catalog().of(*to)).collect();
-        for e in list.endpoints {
-            if fresh.contains(&e.group) {
-                // Among the hosts of its destination already; one that was there and has left was never told of.
+        let mut endpoints: Vec<Entry> =
+            activated.iter().flat_map(|to| self.members.catalog().hosts_of(*to)).collect();
+        for entry in list.endpoints {
+            if activated.contains(&entry.group) {
+                // The hosts of a newly active destination are in the result already. One that has left was
+                // never passed on.
                 continue;
             }
-            if self.used.has(e.group) {
-                endpoints.push(e);
-            } else if e.status != Status::Left && self.used.has_room() {
-                self.used.add(e.group);
-                fresh.insert(e.group);
-                endpoints.extend(self.members.catalog().of(e.group));
+            if self.active.contains(entry.group) {
+                endpoints.push(entry);
+            } else if entry.status != Status::Left && self.active.has_room() {
+                self.active.insert(entry.group);
+                activated.insert(entry.group);
+                endpoints.extend(self.members.catalog().hosts_of(entry.group));
             }
         }
         List { endpoints, ..list }
     }
 
-    /// Whether a destination is in use.
+    /// Returns whether a destination is active.
     pub fn is_active(&self, destination: u64) -> bool {
-        self.used.has(destination)
+        self.active.contains(destination)
     }
 
-    /// A message for this destination: the hosts that are to be told of first, where it was not in use.
+    /// Records a use of a destination, and activates it if it was not active. Returns its hosts in that case:
+    /// the module has to learn of them before it gets a message for the destination.
     pub fn activate(&mut self, destination: u64) -> Option<List> {
-        if self.used.mark(destination) || !self.members.catalog().has(destination) {
+        if self.active.touch(destination) || !self.members.catalog().has_hosts(destination) {
             return None;
         }
-        self.used.add(destination);
-        let endpoints = self.members.catalog().of(destination);
+        self.active.insert(destination);
+        let endpoints = self.members.catalog().hosts_of(destination);
         Some(List { index: self.index, snapshot: false, endpoints })
     }
 
-    /// Takes those out that are too many, not used for longest, and of which `forget` says that nobody knows them any more.
-    /// `None` is for one that nobody knows: yet, if it is listed.
+    /// Evicts the least recently used destinations until the active set is within its capacity. `forget`
+    /// returns whether the module and the carrier have dropped the destination, or `None` if they don't know
+    /// it; such a destination is evicted unless it is listed, as they may not have learnt of it yet.
     pub fn shrink(&mut self, mut forget: impl FnMut(u64) -> Option<bool>) {
         let catalog = self.members.catalog();
-        self.used.shrink(|destination| forget(destination).unwrap_or_else(|| !catalog.has(destination)));
+        self.active.evict_surplus(|destination| {
+            forget(destination).unwrap_or_else(|| !catalog.has_hosts(destination))
+        });
     }
 
-    /// Whether more are in use than there is room for.
+    /// Returns whether the active set exceeds its capacity.
     pub fn is_crowded(&self) -> bool {
-        self.used.is_crowded()
+        self.active.is_over_capacity()
     }
 }
--- a/crates/membership/tests/catalog.rs
+++ b/crates/membership/tests/catalog.rs
@@ -1,4 +1,4 @@
-//! The compact catalog beside a plain map, and the destinations in use beside a plain list.
+//! Compares the compact catalog with a plain map, and checks which destinations the active set evicts.
 use mulleinslip_membership::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -20,54 +20,64 @@
     }
 }
 
-fn text(e: &Entry) -> String {
-    serde_json::to_string(e).unwrap()
+fn to_json(entry: &Entry) -> String {
+    serde_json::to_string(entry).unwrap()
 }
 
+/// Guards against errors of the indices by name and by destination: random inserts, updates, moves and
+/// removals give the same content as in a plain map. Unlinking a record wrongly would lose hosts of its
+/// destination or keep removed ones.
 #[test]
-fn it_holds_what_a_plain_map_holds() {
+fn catalog_matches_plain_map_over_random_changes() {
     for seed in 0..30 {
         let mut random = fastrand::Rng::with_seed(seed);
         let (mut catalog, mut plain) = (Catalog::default(), BTreeMap::<String, Entry>::new());
         for step in 0..3000 {
-            let e = random_entry(&mut random);
-            let at = format!("seed {seed}, step {step}");
+            let entry = random_entry(&mut random);
+            let context = format!("seed {seed}, step {step}");
             if random.u32(..3) == 0 {
-                let removed = catalog.remove(&e.name).map(|e| text(&e));
-                assert_eq!(removed, plain.remove(&e.name).map(|e| text(&e)), "{at}");
+                let removed = catalog.remove(&entry.name).map(|e| to_json(&e));
+                assert_eq!(removed, plain.remove(&entry.name).map(|e| to_json(&e)), "{context}");
             } else {
-                let before = plain.insert(e.name.clone(), e.clone());
+                let before = plain.insert(entry.name.clone(), entry.clone());
                 let expected = match before {
-                    None => Put::New,
-                    Some(b) if text(&b) == text(&e) => Put::Same,
-                    Some(b) => Put::Changed { group: b.group },
+                    None => Upsert::Inserted,
+                    Some(previous) if to_json(&previous) == to_json(&entry) => Upsert::Unchanged,
+                    Some(previous) => Upsert::Updated { previous_destination: previous.group },
                 };
-                assert_eq!(catalog.put(&e), expected, "{at}");
+                assert_eq!(catalog.upsert(&entry), expected, "{context}");
             }
-            assert_eq!(catalog.get(&e.name).map(|e| text(&e)), plain.get(&e.name).map(text), "{at}");
-            let of: Vec<String> = catalog.of(e.group).iter().map(text).collect();
-            let plain_of: Vec<String> = plain.values().filter(|p| p.group == e.group).map(text).collect();
-            assert_eq!(of, plain_of, "{at}");
-            assert_eq!(catalog.has(e.group), !plain_of.is_empty(), "{at}");
+            assert_eq!(
+                catalog.get(&entry.name).map(|e| to_json(&e)),
+                plain.get(&entry.name).map(to_json),
+                "{context}"
+            );
+            let hosts: Vec<String> = catalog.hosts_of(entry.group).iter().map(to_json).collect();
+            let plain_hosts: Vec<String> =
+                plain.values().filter(|p| p.group == entry.group).map(to_json).collect();
+            assert_eq!(hosts, plain_hosts, "{context}");
+            assert_eq!(catalog.has_hosts(entry.group), !plain_hosts.is_empty(), "{context}");
         }
-        let groups: BTreeSet<u64> = plain.values().map(|e| e.group).collect();
-        assert_eq!((catalog.len(), catalog.destinations()), (plain.len(), groups.len()));
-        let mut all: Vec<String> = catalog.walk().map(|e| text(&e)).collect();
-        let mut plain_all: Vec<String> = plain.values().map(text).collect();
+        let destinations: BTreeSet<u64> = plain.values().map(|e| e.group).collect();
+        assert_eq!((catalog.len(), catalog.destinations()), (plain.len(), destinations.len()));
+        let mut all: Vec<String> = catalog.hosts().map(|e| to_json(&e)).collect();
+        let mut plain_all: Vec<String> = plain.values().map(to_json).collect();
         all.sort();
         plain_all.sort();
         assert_eq!(all, plain_all);
-        catalog.whole();
-        let named: Vec<&String> = plain.keys().step_by(2).collect();
-        named.iter().for_each(|name| catalog.mark(name));
-        let unnamed: Vec<String> = plain.keys().skip(1).step_by(2).cloned().collect();
-        assert_eq!(catalog.unnamed(), unnamed, "seed {seed}");
+        catalog.begin_full_list();
+        let listed: Vec<&String> = plain.keys().step_by(2).collect();
+        listed.iter().for_each(|name| catalog.mark_listed(name));
+        let unlisted: Vec<String> = plain.keys().skip(1).step_by(2).cloned().collect();
+        assert_eq!(catalog.unlisted(), unlisted, "seed {seed}");
     }
 }
 
-/// At the size to plan with it may take 30 MB; it takes under 100 bytes a host.
+/// Guards against growth of the catalog: at the size that capacity is planned for it may take 30 MB, which is
+/// 100 bytes a host. Names of removed hosts that are never dropped from the arena would add to it with each
+/// change of the list.
 #[test]
-fn a_host_takes_under_a_hundred_bytes_and_what_is_taken_out_leaves_no_waste() {
+fn catalog_takes_under_100_bytes_a_host_also_after_many_replacements() {
     let entry = |n: u64| Entry {
         name: format!("s-{:08x}", n * 7919),
         address: std::net::SocketAddr::from(([10, (n >> 16) as u8, (n >> 8) as u8, n as u8], 8000)),
@@ -79,46 +89,54 @@
         since_ms: 0.0,
     };
     let mut catalog = Catalog::default();
-    (0..20_000).for_each(|n| assert_eq!(catalog.put(&entry(n)), Put::New));
-    assert!(catalog.bytes() < 100 * 20_000, "{} bytes", catalog.bytes());
-    // Ten times as many come and go.
+    (0..20_000).for_each(|n| assert_eq!(catalog.upsert(&entry(n)), Upsert::Inserted));
+    assert!(catalog.bytes() < 100 * 20_000, "the catalog takes {} bytes", catalog.bytes());
+    // Replaces each host ten times.
     for n in 0..200_000 {
         assert!(catalog.remove(&entry(n).name).is_some());
-        catalog.put(&entry(n + 20_000));
+        catalog.upsert(&entry(n + 20_000));
     }
     assert_eq!(catalog.len(), 20_000);
-    assert!(catalog.bytes() < 120 * 20_000, "{} bytes", catalog.bytes());
+    assert!(catalog.bytes() < 120 * 20_000, "the catalog takes {} bytes", catalog.bytes());
 }
 
-/// Beside a plain list by the time of use: never more than a few too many, none that may not go, and none that was used within
-/// the last round of the hand while others were not.
+/// Guards against eviction of the wrong destinations: some are used all the time, the others rarely. The set
+/// exceeds its capacity by a few at most, never evicts the destination that was just used, and keeps those in
+/// constant use.
 #[test]
-fn those_that_were_not_used_for_longest_make_room() {
+fn least_recently_used_destinations_are_evicted() {
     for seed in 0..20 {
         let mut random = fastrand::Rng::with_seed(seed);
-        let (mut used, most) = (ActiveSet::new(100), 100);
+        let (mut active, capacity) = (ActiveSet::new(100), 100);
         let mut last: HashMap<u64, u32> = HashMap::new();
         for step in 0..5000u32 {
-            // Some are used all the time, the others seldom.
-            let dest = if random.bool() { random.u64(..20) } else { random.u64(20..400) };
-            if !used.mark(dest) {
-                used.add(dest);
+            // Half of the uses are of 20 destinations, the others of 380.
+            let used = if random.bool() { random.u64(..20) } else { random.u64(20..400) };
+            if !active.touch(used) {
+                active.insert(used);
             }
-            last.insert(dest, step);
-            // One in ten looks finds one that may not go just now.
-            used.shrink(|d| {
-                let may = random.u32(..10) != 0 && d != dest;
-                if may {
-                    last.remove(&d);
+            last.insert(used, step);
+            // One in ten destinations may not be evicted when it is examined.
+            active.evict_surplus(|destination| {
+                let may_evict = random.u32(..10) != 0 && destination != used;
+                if may_evict {
+                    last.remove(&destination);
                 }
-                may
+                may_evict
             });
-            assert!(used.has(dest), "seed {seed}, step {step}: it was just used");
-            assert_eq!(used.len(), last.len());
-            // A look that finds only such as were used lately leaves one too many for the next.
-            assert!(used.len() <= most + 5, "seed {seed}, step {step}: {} in use", used.len());
+            assert!(
+                active.contains(used),
+                "seed {seed}, step {step}: a destination was evicted right after its use"
+            );
+            assert_eq!(active.len(), last.len());
+            // A call that examines recently used destinations only leaves the surplus to the next call.
+            assert!(
+                active.len() <= capacity + 5,
+                "seed {seed}, step {step}: {} destinations are active",
+                active.len()
+            );
         }
-        let often = (0..20).filter(|d| used.has(*d)).count();
-        assert!(often >= 18, "seed {seed}: {often} of 20 that are used all the time");
+        let kept = (0..20).filter(|d| active.contains(*d)).count();
+        assert!(kept >= 18, "seed {seed}: only {kept} of 20 destinations in constant use are active");
     }
 }
--- a/crates/membership/tests/recorded.rs
+++ b/crates/membership/tests/recorded.rs
@@ -1,5 +1,5 @@
-//! Guards against changes of the stored form: a relay reads what an earlier version wrote, and versions run beside
-//! each other during a takeover.
+//! Guards against changes of the list's JSON form: a relay reads lists that an earlier version wrote, and two
+//! versions run side by side during a takeover.
 use mulleinslip_membership::{Entry, List, Status};
 
 const SAMPLE: &str = include_str!("recorded/list.json");
@@ -24,9 +24,9 @@
 }
 
 #[test]
-fn the_recorded_list_of_hosts_is_read_and_written_as_it_was() {
+fn recorded_list_round_trips_unchanged() {
     let read: List = serde_json::from_str(SAMPLE).unwrap();
-    // A list has no equality of its own.
+    // `List` does not implement `PartialEq`.
     assert_eq!(format!("{read:?}"), format!("{:?}", list()));
     assert_eq!(serde_json::to_string(&read).unwrap() + "\n", SAMPLE);
 }
