--- a/crates/daemon/src/takeover.rs
+++ b/crates/daemon/src/takeover.rs
@@ -9,7 +9,7 @@
 use mulleinslip_runtime::{Clock, ForwardedEnd};
 use mulleinslip_takeover::channel::{Channel, TakeoverListener};
 use mulleinslip_takeover::message::{
-    AttemptEnd, ToNew, ToOld, FIRST_VERSION, LIST_ROWS, PART_ROWS, ROWS, VERSION,
+    AttemptEnd, ToNew, ToOld, FIRST_VERSION, MAX_LEARNT_ROWS, MAX_LIST_ROWS, MAX_ROWS, VERSION,
 };
 use mulleinslip_takeover::protocol::{HandoverState, NewProcess, NewStep, OldEvent, OldProcess, OldStep};
 use std::cell::RefCell;
@@ -269,7 +269,7 @@
                     log("another process goes on");
                     return self.pass(&channel, &mut old, speaks).await;
                 }
-                OldStep::Refuse(why) => return channel.send(&ToNew::Rejected(why.into()), None).await,
+                OldStep::Reject(why) => return channel.send(&ToNew::Rejected(why.into()), None).await,
                 OldStep::Retake => {
                     drop(channel);
                     self.retake().await;
@@ -281,7 +281,7 @@
     }
 
     async fn tell_out(&self, channel: &Channel, out: &[(u64, u32)]) {
-        for rows in out.chunks(ROWS) {
+        for rows in out.chunks(MAX_ROWS) {
             let _gone = channel.send(&ToNew::AttemptsInFlight(rows.to_vec()), None).await;
         }
     }
@@ -293,14 +293,14 @@
             let agent = self.place.borrow().to_string();
             // A longer one is asked for anew: it would hold this process up.
             let list = self.view.borrow().list(MOST_PASSED).unwrap_or_default();
-            for rows in list.endpoints.chunks(LIST_ROWS) {
+            for rows in list.endpoints.chunks(MAX_LIST_ROWS) {
                 let part = List { endpoints: rows.to_vec(), ..list };
                 let part = serde_json::to_string(&part).map_err(io::Error::other)?;
                 channel.send(&ToNew::List { agent: agent.clone(), part }, None).await?;
             }
         }
         let learnt = self.engine.borrow().learnt(self.clock.now());
-        for part in learnt.parts(PART_ROWS).iter().filter(|_| speaks > FIRST_VERSION) {
+        for part in learnt.parts(MAX_LEARNT_ROWS).iter().filter(|_| speaks > FIRST_VERSION) {
             let text = serde_json::to_string(part).map_err(io::Error::other)?;
             channel.send(&ToNew::Learnt(text), None).await?;
         }
@@ -312,7 +312,7 @@
         let waits = self.carrier.retry_afters().into_iter();
         let rows: Vec<_> =
             waits.map(|(dest, host, left)| (dest, host, left.as_secs_f64() * 1000.0)).collect();
-        for rows in rows.chunks(ROWS) {
+        for rows in rows.chunks(MAX_ROWS) {
             channel.send(&ToNew::RetryAfters(rows.to_vec()), None).await?;
         }
         Ok(())
--- a/crates/takeover/src/lib.rs
+++ b/crates/takeover/src/lib.rs
@@ -1,22 +1,25 @@
-//! A new process of a relay takes over from the one that serves, in the middle of its work.
+//! Takeover: a new process of a relay replaces the one that serves, without waiting for the work in progress
+//! to end.
 //!
-//! The two share the lasting folder, and a Unix socket in it. What each side may do when is [`protocol`], without
-//! I/O; [`channel`] carries the frames and descriptors.
+//! The two processes share the state folder and a Unix socket in it. [`protocol`] defines which side may do
+//! what at which time, without I/O; [`channel`] carries the frames and descriptors.
 //!
 //! ```text
-//! new                              old
-//!  | ---- Ask ---------------------> |  stops in the middle: nothing begins, nothing is recorded, the folder is left
-//!  | <--- Out, Waits, Ready + listener |
-//!  | opens the folder, reads it      |
-//!  | ---- Taken -------------------> |  from here on it will never write again
-//!  | <--- Go ----------------------- |
-//!  | serves                          |  makes the attempts that are out to their end
-//!  | <--- Client + connection, Ended |
-//!  | ---- CallOff -----------------> |
+//! new                                   old
+//!  | ---- Ask --------------------------> |  starts no attempt, records nothing, releases the folder
+//!  | <--- AttemptsInFlight, RetryAfters,  |
+//!  |      Learnt, List, Ready + listener  |
+//!  | opens the folder, reads it           |
+//!  | ---- FolderOpened -----------------> |  never writes to the folder again
+//!  | <--- Go ---------------------------- |
+//!  | serves                               |  completes the attempts in flight
+//!  | <--- Client + connection, Ended,     |
+//!  |      Host + connection               |
+//!  | ---- CancelAttempt ----------------> |
 //! ```
 //!
-//! Whoever dies before `Go` changes nothing: the old process takes the folder back, the new one has done nothing. After
-//! it the attempts of an old process that dies may have run.
+//! If either process dies before `Go`, nothing has changed: the old process takes the folder back, and the
+//! new one has not acted. If the old process dies after `Go`, its attempts in flight may have run.
 #![warn(missing_docs)]
 
 pub mod channel;
--- a/crates/takeover/src/message.rs
+++ b/crates/takeover/src/message.rs
@@ -1,109 +1,118 @@
-//! What the two processes tell each other.
+//! The frames that the two processes exchange, in postcard form: the order and types of variants and fields
+//! must not change.
 
 use linenhall::Outcome;
 use serde::{Deserialize, Serialize};
 
-/// Of these frames and of what they mean. 2 has [`ToNew::Learnt`] and what follows it. A process that is asked speaks the version of the
-/// one that asks; one that asks tries [`FIRST_VERSION`] if this one is refused.
+/// Version of the protocol. Version 2 adds [`ToNew::Learnt`] and the variants after it. The old process uses
+/// the version that the new one asks for; the new process falls back to [`FIRST_VERSION`] if this version is
+/// rejected.
 pub const VERSION: u16 = 2;
-/// The oldest version that is spoken.
+/// Oldest supported version of the protocol.
 pub const FIRST_VERSION: u16 = 1;
-/// Parts of what was learnt that are taken: some ten thousand lanes.
-pub const MOST_PARTS: usize = 1024;
-/// Rows in such a part at most, so that it fits a frame: a lane tells up to 256 sends of some 50 bytes at most.
-pub const PART_ROWS: usize = 8;
-/// Hosts in a part of the list at most: names are short, but nobody says how short.
-pub const LIST_ROWS: usize = 64;
-/// The longest frame: a client's request that is not answered, or [`ROWS`] rows. A socket's buffer holds more.
+/// Maximum number of accepted [`ToNew::Learnt`] frames, and of [`ToNew::List`] frames: enough for some ten
+/// thousand endpoint groups.
+pub const MAX_PARTS: usize = 1024;
+/// Maximum number of rows in a [`ToNew::Learnt`] frame, so that it fits: an endpoint group has up to 256
+/// sends of at most about 50 bytes.
+pub const MAX_LEARNT_ROWS: usize = 8;
+/// Maximum number of hosts in a [`ToNew::List`] frame. Low, as the length of names is not limited.
+pub const MAX_LIST_ROWS: usize = 64;
+/// Maximum length of a frame: enough for a client's unanswered request, or for [`MAX_ROWS`] rows. A socket's
+/// buffer holds more.
 pub const MAX_FRAME_BYTES: usize = 160 * 1024;
-/// Rows in one frame at most; a wait takes some 40 bytes and a name.
-pub const ROWS: usize = 256;
+/// Maximum number of rows in a [`ToNew::AttemptsInFlight`] or [`ToNew::RetryAfters`] frame; a row of the
+/// latter takes about 40 bytes and a name.
+pub const MAX_ROWS: usize = 256;
 
-/// From the new process.
+/// Frames from the new process to the old one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToOld {
-    /// It would go on, and has all else that it needs.
+    /// Asks for the takeover. The new process has everything else that it needs to serve.
     Ask {
         /// [`VERSION`].
         version: u16,
     },
-    /// It has the folder and has read it.
+    /// The new process has opened the folder and read it.
     FolderOpened,
-    /// Nobody waits for this attempt any more.
+    /// Cancels an attempt whose result is no longer needed.
     CancelAttempt {
-        /// The message.
+        /// The message's id.
         id: u64,
-        /// The attempt.
+        /// The attempt's number.
         attempt: u32,
     },
 }
 
-/// From the old process.
+/// Frames from the old process to the new one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToNew {
-    /// It can't be asked: another version, or it is ending already.
+    /// Rejects the takeover, with the reason: the version is not supported, or a frame is not expected.
     Rejected(String),
-    /// Attempts that are out: message and number.
+    /// Attempts in flight: the message's id and the attempt's number.
     AttemptsInFlight(Vec<(u64, u32)>),
-    /// Waits: destination, endpoint or nothing, and for how many milliseconds more.
+    /// Retry-After times: the destination, the endpoint (empty for all of the destination), and the remaining
+    /// milliseconds.
     RetryAfters(Vec<(u64, String, f64)>),
-    /// That was all, and the folder is free. With the listener.
+    /// The state is complete and the folder is released. Carries the listener's descriptor.
     Ready {
-        /// Clients are being sent elsewhere.
+        /// Whether clients are being sent elsewhere (drain).
         drained: bool,
     },
-    /// It is the new process's now.
+    /// The new process serves from now on.
     Go,
-    /// A client's connection, with this of it not answered. With the connection.
+    /// A client's connection. Carries its descriptor.
     Client {
-        /// As it came.
+        /// The bytes that were received and belong to no answered request.
         unread: Vec<u8>,
     },
-    /// An attempt that was out has ended.
+    /// An attempt in flight has ended.
     Ended(AttemptEnd),
-    /// A part of what it has learnt, as JSON: versions may differ in what they learn. Before [`ToNew::Ready`].
+    /// A part of the learnt state, before [`ToNew::Ready`]. In JSON, as versions may differ in what they
+    /// learn.
     Learnt(String),
-    /// A part of the list of hosts as it has it, as JSON, and the agent that told it: with discovery silent the new process
-    /// would know less, and send to hosts of which the old one had heard that they drain. From version 2 on, before
-    /// [`ToNew::Ready`].
+    /// A part of the list of hosts, in JSON, and the agent that it came from. Without it, if discovery does
+    /// not answer, the new process could send to hosts of which the old one knows that they drain. From
+    /// version 2 on, before [`ToNew::Ready`].
     List {
         /// The agent's address.
         agent: String,
-        /// Some of the hosts.
+        /// Some of the hosts, in JSON.
         part: String,
     },
-    /// A connection to a host that stands idle. With the connection. From version 2 on, after [`ToNew::Go`].
+    /// An idle connection to a host. Carries its descriptor. From version 2 on, after [`ToNew::Go`].
     Host {
         /// The host's name in the list.
         endpoint: String,
-        /// For how long it has stood idle, in milliseconds.
+        /// Time for which the connection has been idle, in milliseconds.
         idle_ms: f64,
     },
 }
 
-/// How an attempt ended that the old process made.
+/// End of an attempt that the old process made.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AttemptEnd {
-    /// The message.
+    /// The message's id.
     pub id: u64,
-    /// The attempt.
+    /// The attempt's number.
     pub attempt: u32,
-    /// Since it was asked for, in milliseconds.
+    /// Time since the attempt was requested, in milliseconds.
     pub took_ms: f64,
-    /// What it came to.
+    /// The attempt's outcome.
     #[serde(with = "WireOutcome")]
     pub outcome: Outcome,
-    /// The message is over.
+    /// Whether the message has ended and no further answer is pending.
     pub settled: bool,
-    /// Whether something came back.
+    /// Whether the host sent a response.
     pub answered: bool,
-    /// A wait that was told, in milliseconds; [`ToNew::RetryAfters`] has gone ahead of it.
+    /// Retry-After time that the host gave, in milliseconds. A [`ToNew::RetryAfters`] frame precedes this
+    /// one.
     pub wait_ms: f64,
-    /// A load report, empty if there is none.
+    /// The load report; empty if there is none.
     pub report: Vec<f64>,
 }
 
-/// [`Outcome`], as it stands in a frame.
+/// Serialised form of [`Outcome`].
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "Outcome")]
 enum WireOutcome {
--- a/crates/takeover/src/protocol.rs
+++ b/crates/takeover/src/protocol.rs
@@ -1,72 +1,73 @@
-//! Who may do what when. No I/O and no time: what happens goes in, what is to be done comes out.
+//! The state machines of both processes: events go in, and the next step comes out. No I/O and no clock.
 
-use crate::message::{ToNew, ToOld, FIRST_VERSION, MOST_PARTS, VERSION};
+use crate::message::{ToNew, ToOld, FIRST_VERSION, MAX_PARTS, VERSION};
 
-/// What happens to the old process.
+/// An event at the old process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OldEvent {
-    /// A frame came.
+    /// A frame was received.
     Received(ToOld),
-    /// It has stopped in the middle and left the folder.
+    /// This process has paused its work and released the folder.
     Released,
-    /// The new process is gone, or says nothing that can be read, or takes too long.
+    /// The new process has closed the connection, sent a frame that can't be decoded, or not answered in
+    /// time.
     Lost,
 }
 
-/// What the old process is to do.
+/// The next step of the old process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OldStep {
-    /// Nothing.
+    /// Wait for the next event.
     Wait,
-    /// Stop in the middle and leave the folder; then [`OldEvent::Released`].
+    /// Pause the work and release the folder; [`OldEvent::Released`] follows.
     Release,
-    /// Tell what the new process needs, up to [`ToNew::Ready`].
+    /// Send the state that the new process needs, up to [`ToNew::Ready`].
     SendState,
-    /// Say [`ToNew::Go`], and pass on what is here. Never write again.
+    /// Send [`ToNew::Go`], and hand over connections and ends of attempts. Never write to the folder again.
     HandOver,
-    /// Call this attempt off.
+    /// Cancel an attempt, given by the message's id and the attempt's number.
     CancelAttempt(u64, u32),
-    /// Say [`ToNew::Rejected`] for this reason; go on as ever.
-    Refuse(&'static str),
-    /// Take the folder back and go on as ever.
+    /// Send [`ToNew::Rejected`] with this reason, and continue to serve.
+    Reject(&'static str),
+    /// Take the folder back and continue to serve.
     Retake,
-    /// The other process is gone: leave the channel.
+    /// The new process has closed the connection: close the channel.
     Exit,
 }
 
-/// The old process.
+/// State of the old process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OldProcess {
-    /// It serves.
+    /// The process serves.
     #[default]
     Serving,
-    /// It stops in the middle.
+    /// The process pauses its work and releases the folder.
     Stopping,
-    /// It has left the folder to a new process that has not said that it has it.
+    /// The folder is released, and the new process has not confirmed that it has opened it.
     Offering,
-    /// The new process goes on.
+    /// The new process serves.
     HandedOver,
 }
 
 impl OldProcess {
-    /// Takes in what happens.
+    /// Applies an event. Returns the next step.
     pub fn on(&mut self, event: OldEvent) -> OldStep {
         let (next, step) = match (*self, event) {
             (OldProcess::Serving, OldEvent::Received(ToOld::Ask { version: FIRST_VERSION..=VERSION })) => {
                 (OldProcess::Stopping, OldStep::Release)
             }
             (OldProcess::Serving, OldEvent::Received(ToOld::Ask { .. })) => {
-                (OldProcess::Serving, OldStep::Refuse("another version"))
+                (OldProcess::Serving, OldStep::Reject("another version"))
             }
             (OldProcess::Serving, OldEvent::Received(_)) => {
-                (OldProcess::Serving, OldStep::Refuse("not asked"))
+                (OldProcess::Serving, OldStep::Reject("not asked"))
             }
             (OldProcess::Serving, OldEvent::Lost) => (OldProcess::Serving, OldStep::Exit),
             (OldProcess::Stopping, OldEvent::Released) => (OldProcess::Offering, OldStep::SendState),
             (OldProcess::Offering, OldEvent::Received(ToOld::FolderOpened)) => {
                 (OldProcess::HandedOver, OldStep::HandOver)
             }
-            // Whoever says anything else doesn't keep to the protocol.
+            // Any other frame violates the protocol.
             (OldProcess::Stopping | OldProcess::Offering, _) => (OldProcess::Serving, OldStep::Retake),
             (OldProcess::HandedOver, OldEvent::Received(ToOld::CancelAttempt { id, attempt })) => {
                 (OldProcess::HandedOver, OldStep::CancelAttempt(id, attempt))
@@ -78,75 +79,76 @@
         step
     }
 
-    /// Whether it may write to the folder.
+    /// Returns whether the process may write to the folder.
     pub fn may_write(self) -> bool {
         self == OldProcess::Serving
     }
 }
 
-/// What the old process has told the new one.
+/// The state that the old process hands over before the new one serves.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HandoverState {
-    /// Attempts that are out: message and number.
+    /// Attempts in flight: the message's id and the attempt's number.
     pub attempts_in_flight: Vec<(u64, u32)>,
-    /// Waits, see [`ToNew::RetryAfters`].
+    /// Retry-After times, see [`ToNew::RetryAfters`].
     pub retry_afters: Vec<(u64, String, f64)>,
-    /// What it has learnt, see [`ToNew::Learnt`].
+    /// Parts of the learnt state, see [`ToNew::Learnt`].
     pub learnt: Vec<String>,
-    /// The list, by the agent that told it: see [`ToNew::List`].
+    /// Parts of the list, each with the agent that it came from, see [`ToNew::List`].
     pub list: Vec<(String, String)>,
-    /// Clients are being sent elsewhere.
+    /// Whether clients are being sent elsewhere (drain).
     pub drained: bool,
 }
 
-/// What the new process is to do.
+/// The next step of the new process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NewStep {
-    /// Nothing.
+    /// Wait for the next frame.
     Wait,
-    /// Open the folder, read it, say [`ToOld::FolderOpened`]. Act on nothing yet.
+    /// Open the folder, read it, and send [`ToOld::FolderOpened`]. Start no work yet.
     Open,
-    /// Serve.
+    /// Serve, with the state that was handed over.
     Serve(HandoverState),
-    /// Leave the folder as it is; perhaps ask again.
+    /// Leave the folder unchanged, for this reason. The caller may ask again.
     GiveUp(String),
 }
 
-/// The new process, from its question on.
+/// State of the new process, from its request on.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NewProcess {
-    offer: HandoverState,
+    state: HandoverState,
+    /// Whether the old process has sent [`ToNew::Ready`].
     ready: bool,
 }
 
 impl NewProcess {
-    /// Takes in a frame, or that the old process is gone.
-    pub fn on(&mut self, heard: Option<ToNew>) -> NewStep {
-        match heard {
+    /// Applies a frame, or `None` if the old process has closed the connection. Returns the next step.
+    pub fn on(&mut self, received: Option<ToNew>) -> NewStep {
+        match received {
             Some(ToNew::AttemptsInFlight(rows)) if !self.ready => {
-                self.offer.attempts_in_flight.extend(rows);
+                self.state.attempts_in_flight.extend(rows);
                 NewStep::Wait
             }
             Some(ToNew::RetryAfters(rows)) if !self.ready => {
-                self.offer.retry_afters.extend(rows);
+                self.state.retry_afters.extend(rows);
                 NewStep::Wait
             }
-            Some(ToNew::Learnt(part)) if !self.ready && self.offer.learnt.len() < MOST_PARTS => {
-                self.offer.learnt.push(part);
+            Some(ToNew::Learnt(part)) if !self.ready && self.state.learnt.len() < MAX_PARTS => {
+                self.state.learnt.push(part);
                 NewStep::Wait
             }
-            Some(ToNew::List { agent, part }) if !self.ready && self.offer.list.len() < MOST_PARTS => {
-                self.offer.list.push((agent, part));
+            Some(ToNew::List { agent, part }) if !self.ready && self.state.list.len() < MAX_PARTS => {
+                self.state.list.push((agent, part));
                 NewStep::Wait
             }
             Some(ToNew::Ready { drained }) if !self.ready => {
-                (self.ready, self.offer.drained) = (true, drained);
+                (self.ready, self.state.drained) = (true, drained);
                 NewStep::Open
             }
-            Some(ToNew::Go) if self.ready => NewStep::Serve(std::mem::take(&mut self.offer)),
+            Some(ToNew::Go) if self.ready => NewStep::Serve(std::mem::take(&mut self.state)),
             Some(ToNew::Rejected(why)) => NewStep::GiveUp(why),
-            Some(_) => NewStep::GiveUp("it doesn't keep to the protocol".into()),
-            None => NewStep::GiveUp("it is gone".into()),
+            Some(_) => NewStep::GiveUp("the old process violated the protocol".into()),
+            None => NewStep::GiveUp("the old process closed the connection".into()),
         }
     }
 }
@@ -159,14 +161,16 @@
         OldEvent::Received(ToOld::Ask { version: VERSION })
     }
 
+    /// Guards against a takeover that stalls or loses state: runs both sides from the request to the end, and
+    /// checks each step and the state that the new process gets.
     #[test]
-    fn the_way_of_a_takeover() {
+    fn takeover_steps_of_both_processes_without_faults() {
         let mut old = OldProcess::default();
         assert_eq!(old.on(ask()), OldStep::Release);
         assert_eq!(old.on(OldEvent::Released), OldStep::SendState);
         assert_eq!(old.on(OldEvent::Received(ToOld::FolderOpened)), OldStep::HandOver);
-        let call_off = OldEvent::Received(ToOld::CancelAttempt { id: 7, attempt: 1 });
-        assert_eq!(old.on(call_off), OldStep::CancelAttempt(7, 1));
+        let cancel = OldEvent::Received(ToOld::CancelAttempt { id: 7, attempt: 1 });
+        assert_eq!(old.on(cancel), OldStep::CancelAttempt(7, 1));
         assert_eq!(old.on(OldEvent::Lost), OldStep::Exit);
 
         let mut new = NewProcess::default();
@@ -177,22 +181,22 @@
         let list = ToNew::List { agent: "a".into(), part: "[]".into() };
         assert_eq!(new.on(Some(list)), NewStep::Wait);
         assert_eq!(new.on(Some(ToNew::Ready { drained: true })), NewStep::Open);
-        let (waits, learnt) = (vec![(5, String::new(), 9.0)], vec!["{}".into()]);
+        let (retry_afters, learnt) = (vec![(5, String::new(), 9.0)], vec!["{}".into()]);
         let list = vec![("a".into(), "[]".into())];
-        let offer = HandoverState {
+        let state = HandoverState {
             attempts_in_flight: vec![(1, 0), (2, 3)],
-            retry_afters: waits,
+            retry_afters,
             learnt,
             list,
             drained: true,
         };
-        assert_eq!(new.on(Some(ToNew::Go)), NewStep::Serve(offer));
+        assert_eq!(new.on(Some(ToNew::Go)), NewStep::Serve(state));
     }
 
-    /// All sequences of five events: the old process writes only while the new one may not act, and the new one acts
-    /// only once the old one will never write again.
+    /// Guards against two processes that write to the journal: over all sequences of five events the old
+    /// process writes only as long as it has not sent Go, and never afterwards.
     #[test]
-    fn never_do_both_have_the_folder() {
+    fn old_process_never_writes_after_handover() {
         let events = [
             ask(),
             OldEvent::Received(ToOld::Ask { version: VERSION + 1 }),
@@ -201,34 +205,48 @@
             OldEvent::Released,
             OldEvent::Lost,
         ];
-        let mut passes = 0;
+        let mut handovers = 0;
         for number in 0..events.len().pow(5) {
-            let (mut old, mut passed, mut rest) = (OldProcess::default(), false, number);
+            let (mut old, mut handed_over, mut rest) = (OldProcess::default(), false, number);
             for _ in 0..5 {
                 let event = events[rest % events.len()].clone();
                 let step = old.on(event.clone());
                 rest /= events.len();
-                passes += usize::from(step == OldStep::HandOver);
-                passed |= step == OldStep::HandOver;
-                let ours = matches!(step, OldStep::Retake | OldStep::Refuse(_));
-                assert!(!(passed && (old.may_write() || ours)), "{number}: written after Go");
-                assert!(!ours || old.may_write(), "{number}: taken back and not served");
-                assert!(passed || !matches!(step, OldStep::CancelAttempt(..)), "{number}: {step:?}");
-                // Whoever is gone is not waited for: that would never end.
-                assert!(event != OldEvent::Lost || step != OldStep::Wait, "{number}: {old:?}");
+                handovers += usize::from(step == OldStep::HandOver);
+                handed_over |= step == OldStep::HandOver;
+                let serves = matches!(step, OldStep::Retake | OldStep::Reject(_));
+                assert!(
+                    !(handed_over && (old.may_write() || serves)),
+                    "sequence {number}: the old process may write after Go"
+                );
+                assert!(
+                    !serves || old.may_write(),
+                    "sequence {number}: the old process serves and may not write"
+                );
+                assert!(
+                    handed_over || !matches!(step, OldStep::CancelAttempt(..)),
+                    "sequence {number}: {step:?} before the handover"
+                );
+                // Waiting for a process that has closed the connection would never end.
+                assert!(
+                    event != OldEvent::Lost || step != OldStep::Wait,
+                    "sequence {number}: {old:?} waits for a closed connection"
+                );
             }
         }
-        assert!(passes > 0);
+        assert!(handovers > 0);
     }
 
+    /// Guards against a new process that acts while the old one may still write: frames out of order, or a
+    /// connection that is closed before Go, make it give up.
     #[test]
-    fn a_new_process_acts_on_nothing_before_it_may() {
+    fn new_process_gives_up_on_frames_out_of_order() {
         for early in [ToNew::Go, ToNew::Client { unread: vec![] }, ToNew::Rejected("x".into())] {
             assert!(matches!(NewProcess::default().on(Some(early)), NewStep::GiveUp(_)));
         }
         let mut new = NewProcess::default();
         assert_eq!(new.on(Some(ToNew::Ready { drained: false })), NewStep::Open);
-        // Twice ready, or gone before the word: nothing has been done.
+        // A second Ready, state after Ready, or a closed connection before Go.
         assert!(matches!(new.clone().on(Some(ToNew::Ready { drained: false })), NewStep::GiveUp(_)));
         assert!(matches!(new.clone().on(Some(ToNew::AttemptsInFlight(vec![]))), NewStep::GiveUp(_)));
         assert!(matches!(new.on(None), NewStep::GiveUp(_)));
--- a/crates/takeover/tests/recorded.rs
+++ b/crates/takeover/tests/recorded.rs
@@ -1,11 +1,11 @@
-//! Guards against changes of the stored form: a relay reads what an earlier version wrote, and versions run beside
-//! each other during a takeover.
+//! Guards against changes of the frames' postcard form: two versions of the relay exchange them during a
+//! takeover.
 use linenhall::Outcome;
 use mulleinslip_takeover::message::{AttemptEnd, ToNew, ToOld};
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 
-/// A frame to a line: its name and its bytes.
+/// The recorded frames, one per line: the name and the bytes in hexadecimal.
 const SAMPLE: &str = include_str!("recorded/frames.txt");
 
 fn to_old() -> Vec<(&'static str, ToOld)> {
@@ -54,6 +54,7 @@
     digits.chunks(2).map(|two| (two[0] * 16 + two[1]) as u8).collect()
 }
 
+/// Checks that each recorded frame of a side decodes to the expected one and encodes to the recorded bytes.
 fn check<T: Debug + PartialEq + Serialize + DeserializeOwned>(side: &str, frames: &[(&str, T)]) {
     let recorded: Vec<_> = SAMPLE.lines().filter(|l| l.starts_with(side)).collect();
     assert_eq!(recorded.len(), frames.len());
@@ -67,11 +68,11 @@
 }
 
 #[test]
-fn recorded_frames_to_the_old_process_are_read_and_written_as_they_were() {
+fn recorded_frames_to_old_process_round_trip_unchanged() {
     check("ToOld.", &to_old());
 }
 
 #[test]
-fn recorded_frames_to_the_new_process_are_read_and_written_as_they_were() {
+fn recorded_frames_to_new_process_round_trip_unchanged() {
     check("ToNew.", &to_new());
 }
