--- a/crates/control/src/call.rs
+++ b/crates/control/src/call.rs
@@ -1,42 +1,42 @@
-//! What can be called, and what is answered.
+//! The commands of the second address and their answers.
 
 use crate::metrics::Metrics;
 
-/// The longest line that is read, its end among it; the longest call has nine characters.
-pub const MOST_LINE: usize = 128;
+/// Maximum length of a line, including its end. The longest command has nine characters.
+pub const MAX_LINE_BYTES: usize = 128;
 
-/// What is operated: the process.
+/// The operations that the process offers to the second address.
 pub trait RelayControl {
-    /// Whether this process can serve, and else why not.
+    /// Returns whether this process can serve.
     ///
     /// # Errors
-    /// A few words, without a line break.
+    /// Returns the reason in a few words, without a line break, if it can't.
     fn check(&self) -> Result<(), &'static str>;
 
-    /// The figures as they stand.
+    /// Returns the current metrics.
     fn metrics(&self) -> Metrics;
 
-    /// Sends clients away, or takes them again. Asking for what is the case already does no harm.
+    /// Starts or ends the drain, in which clients are sent elsewhere. Idempotent.
     ///
     /// # Errors
-    /// As [`RelayControl::check`].
+    /// Returns the reason, as [`RelayControl::check`] does.
     fn drain(&self, on: bool) -> Result<(), &'static str>;
 }
 
-/// The whole answer to one line. It begins with `+OK` or `-ERR`.
+/// Returns the complete answer to one line. It begins with `+OK` or `-ERR`.
 pub fn answer(line: &[u8], relay: &dyn RelayControl) -> String {
     let line = line.strip_suffix(b"\n").unwrap_or(line);
     match line.trim_ascii() {
-        b"check" => done(relay.check()),
+        b"check" => result_line(relay.check()),
         b"vars" => format!("+OK\n{}.\n", relay.metrics()),
-        b"drain-on" => done(relay.drain(true)),
-        b"drain-off" => done(relay.drain(false)),
+        b"drain-on" => result_line(relay.drain(true)),
+        b"drain-off" => result_line(relay.drain(false)),
         _ => "-ERR no such call; there are check, vars, drain-on, drain-off\n".into(),
     }
 }
 
-fn done(done: Result<(), &'static str>) -> String {
-    done.map_or_else(|why| format!("-ERR {why}\n"), |()| "+OK\n".into())
+fn result_line(result: Result<(), &'static str>) -> String {
+    result.map_or_else(|why| format!("-ERR {why}\n"), |()| "+OK\n".into())
 }
 
 #[cfg(test)]
@@ -45,14 +45,15 @@
     use crate::metrics::OutcomeCounts;
     use std::cell::Cell;
 
-    struct Fixed {
-        serves: Result<(), &'static str>,
+    /// A relay with a fixed state, which records the last call of `drain`.
+    struct FixedRelay {
+        state: Result<(), &'static str>,
         drained: Cell<Option<bool>>,
     }
 
-    impl RelayControl for Fixed {
+    impl RelayControl for FixedRelay {
         fn check(&self) -> Result<(), &'static str> {
-            self.serves
+            self.state
         }
         fn metrics(&self) -> Metrics {
             let classes = vec![("a".into(), OutcomeCounts { passed: 812, ..OutcomeCounts::default() })];
@@ -60,18 +61,24 @@
         }
         fn drain(&self, on: bool) -> Result<(), &'static str> {
             self.drained.set(Some(on));
-            self.serves
+            self.state
         }
     }
 
+    /// Guards against a changed command or answer: the tools of on-call staff match both. A process that
+    /// can't serve has to give the reason.
     #[test]
-    fn each_call_has_its_answer() {
-        let mut relay = Fixed { serves: Err("starting"), drained: Cell::default() };
+    fn each_command_gets_its_answer() {
+        let mut relay = FixedRelay { state: Err("starting"), drained: Cell::default() };
         assert_eq!(answer(b"check\n", &relay), "-ERR starting\n");
         assert_eq!(answer(b"drain-on\n", &relay), "-ERR starting\n");
-        relay.serves = Ok(());
+        relay.state = Ok(());
         assert_eq!(answer(b"check\r\n", &relay), "+OK\n");
-        assert_eq!(answer(b"check", &relay), "+OK\n", "the end of what is sent ends a line too");
+        assert_eq!(
+            answer(b"check", &relay),
+            "+OK\n",
+            "a line without a line break at its end was not accepted"
+        );
         assert_eq!(answer(b"drain-on\n", &relay), "+OK\n");
         assert_eq!(relay.drained.get(), Some(true));
         assert_eq!(answer(b"drain-off\n", &relay), "+OK\n");
@@ -81,14 +88,19 @@
         assert!(vars.contains("edge_router_handled_total{category=\"a\",outcome=\"passed\"} 812\n"));
     }
 
+    /// Guards against a malformed line that is taken for a command: a drain by mistake would send all clients
+    /// elsewhere.
     #[test]
-    fn anything_else_is_turned_away_in_one_line_and_changes_nothing() {
-        let relay = Fixed { serves: Ok(()), drained: Cell::default() };
+    fn unknown_command_gets_error_line_and_changes_nothing() {
+        let relay = FixedRelay { state: Ok(()), drained: Cell::default() };
         for line in
             [&b""[..], b"\n", b"DRAIN-ON\n", b"drain-on now\n", b"drain on\n", b"\0\xff\n", b"check\nvars\n"]
         {
-            let said = answer(line, &relay);
-            assert!(said.starts_with("-ERR ") && said.find('\n') == Some(said.len() - 1), "{line:?}: {said}");
+            let reply = answer(line, &relay);
+            assert!(
+                reply.starts_with("-ERR ") && reply.find('\n') == Some(reply.len() - 1),
+                "{line:?} was answered with {reply}"
+            );
         }
         assert_eq!(relay.drained.get(), None);
     }
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -1,36 +1,37 @@
-//! The figures, in the text form of Prometheus: a name, labels, a value, a line each.
+//! The metrics in the Prometheus text format: one line each, with name, labels and value.
 
 use std::fmt;
 
+/// Prefix of each metric's name.
 const PREFIX: &str = "edge_router";
 
-/// How messages of one class ended, since the process started.
+/// Number of messages of one class by outcome, since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
-    /// Delivered.
+    /// Messages that were delivered.
     pub passed: u64,
-    /// Refused, at once or after they were taken on.
+    /// Messages that were refused, at once or after they were accepted.
     pub dropped: u64,
-    /// Failed.
+    /// Messages that failed.
     pub failed: u64,
 }
 
-/// What is told.
+/// The metrics of one process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Metrics {
-    /// By name of the class.
+    /// Counts by name of the class.
     pub classes: Vec<(String, OutcomeCounts)>,
-    /// Messages written whole to hosts, since the process started.
+    /// Number of messages that were written completely to hosts, since the process started.
     pub upstream_tries: u64,
-    /// Messages taken on and not ended.
+    /// Number of accepted messages that have not ended.
     pub in_progress: usize,
-    /// Hosts in the list.
+    /// Number of hosts in the list.
     pub known_hosts: usize,
-    /// Those of them to which nothing would be sent just now.
+    /// Number of those hosts to which currently nothing would be sent.
     pub skipped_hosts: usize,
 }
 
-/// A label's value, quoted.
+/// Formats the value of a label in quotes, with escapes.
 struct Quoted<'a>(&'a str);
 
 impl fmt::Display for Quoted<'_> {
@@ -50,8 +51,9 @@
 
 impl fmt::Display for Metrics {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        for (class, ends) in &self.classes {
-            let rows = [("passed", ends.passed), ("dropped", ends.dropped), ("bad_gateway", ends.failed)];
+        for (class, counts) in &self.classes {
+            let rows =
+                [("passed", counts.passed), ("dropped", counts.dropped), ("bad_gateway", counts.failed)];
             for (outcome, count) in rows {
                 let class = Quoted(class);
                 writeln!(f, "{PREFIX}_handled_total{{category={class},outcome=\"{outcome}\"}} {count}")?;
@@ -68,10 +70,11 @@
 mod tests {
     use super::*;
 
+    /// Guards against a changed name, label or escape: dashboards and alerts read these lines.
     #[test]
-    fn a_line_for_each_figure() {
-        let ends = OutcomeCounts { passed: 1, dropped: 2, failed: 3 };
-        let (classes, upstream_tries) = (vec![("o\"r\\d\n".to_string(), ends)], 9);
+    fn metrics_are_written_in_prometheus_format() {
+        let counts = OutcomeCounts { passed: 1, dropped: 2, failed: 3 };
+        let (classes, upstream_tries) = (vec![("o\"r\\d\n".to_string(), counts)], 9);
         let metrics = Metrics { classes, upstream_tries, in_progress: 4, known_hosts: 5, skipped_hosts: 6 };
         let expected = "\
 edge_router_handled_total{category=\"o\\\"r\\\\d\\n\",outcome=\"passed\"} 1
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -1,6 +1,7 @@
-//! The listener. A caller that says nothing holds one of few places, and loses it to one that comes later.
+//! The listener of the second address. The number of connections is limited; a new one closes the oldest one
+//! if there are too many, so that silent callers can't block the address.
 
-use crate::call::{answer, RelayControl, MOST_LINE};
+use crate::call::{answer, RelayControl, MAX_LINE_BYTES};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -11,70 +12,73 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Callers at once; each takes a descriptor. A few may hang for seconds, and the others ask a few times a second
-/// and are gone within milliseconds.
-pub const MOST_CALLERS: usize = 8;
-/// Whoever has sent no line by then is left. Callers wait one second for their answer.
-const LINE: Duration = Duration::from_secs(2);
-/// After a failed accept, which mostly means that descriptors have run out.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Maximum number of connections at once; each takes a descriptor. A few callers may hang for seconds; the
+/// others call a few times a second and are answered within milliseconds.
+pub const MAX_CALLERS: usize = 8;
+/// Time in which a caller has to send its line and read the answer. Callers wait one second for their answer.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause after a failed accept, which mostly means that the process has run out of descriptors.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
+/// The open connections, the oldest first: number, and a sender that closes the connection when it is
+/// dropped.
 type Callers = VecDeque<(u64, oneshot::Sender<()>)>;
 
-/// Reads a line, or what comes before the end of what is sent. `None` if it is too long or does not come whole.
-async fn line(stream: &mut TcpStream) -> Option<Vec<u8>> {
-    let mut read = Vec::new();
-    let mut bytes = [0; MOST_LINE];
+/// Reads a line, which may also end with the stream. Returns `None` if it is empty, too long, or can't be
+/// read.
+async fn read_line(stream: &mut TcpStream) -> Option<Vec<u8>> {
+    let mut received = Vec::new();
+    let mut buffer = [0; MAX_LINE_BYTES];
     loop {
-        let count = stream.read(&mut bytes).await.ok()?;
-        read.extend_from_slice(bytes.get(..count)?);
-        if let Some(end) = read.iter().position(|b| *b == b'\n') {
-            read.truncate(end + 1);
-            return Some(read);
+        let count = stream.read(&mut buffer).await.ok()?;
+        received.extend_from_slice(buffer.get(..count)?);
+        if let Some(end) = received.iter().position(|b| *b == b'\n') {
+            received.truncate(end + 1);
+            return Some(received);
         }
-        if read.len() >= MOST_LINE || (count == 0 && read.is_empty()) {
+        if received.len() >= MAX_LINE_BYTES || (count == 0 && received.is_empty()) {
             return None;
         }
         if count == 0 {
-            return Some(read);
+            return Some(received);
         }
     }
 }
 
-async fn talk<R: RelayControl>(mut stream: TcpStream, relay: &R) {
-    if let Some(line) = line(&mut stream).await {
-        let said = answer(&line, relay);
-        let _caller_gone = stream.write_all(said.as_bytes()).await;
+/// Answers one caller.
+async fn answer_caller<R: RelayControl>(mut stream: TcpStream, relay: &R) {
+    if let Some(line) = read_line(&mut stream).await {
+        let reply = answer(&line, relay);
+        let _caller_gone = stream.write_all(reply.as_bytes()).await;
         let _caller_gone = stream.shutdown().await;
     }
 }
 
-/// Answers callers, for good. Runs on a [`tokio::task::LocalSet`].
+/// Accepts and answers callers; never returns. Must run on a [`tokio::task::LocalSet`].
 pub async fn serve<R: RelayControl + 'static>(listener: TcpListener, relay: Rc<R>) {
-    // Those that are here, the first first, and what sends each away.
-    let here: Rc<RefCell<Callers>> = Rc::default();
+    let connected: Rc<RefCell<Callers>> = Rc::default();
     for number in 0.. {
         let Ok((stream, _)) = listener.accept().await else {
-            here.borrow_mut().pop_front();
-            tokio::time::sleep(PAUSE).await;
+            connected.borrow_mut().pop_front();
+            tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        let (stay, left) = oneshot::channel();
-        let mut callers = here.borrow_mut();
-        while callers.len() >= MOST_CALLERS {
-            // Dropped, it wakes its task, which then closes the connection.
+        let (close, closed) = oneshot::channel();
+        let mut callers = connected.borrow_mut();
+        while callers.len() >= MAX_CALLERS {
+            // Dropping the sender wakes the task, which closes the connection.
             callers.pop_front();
         }
-        callers.push_back((number, stay));
+        callers.push_back((number, close));
         drop(callers);
-        let (relay, here) = (relay.clone(), here.clone());
+        let (relay, connected) = (relay.clone(), connected.clone());
         spawn_local(async move {
             tokio::select! {
                 biased;
-                _too_slow = timeout(LINE, talk(stream, &*relay)) => {}
-                _sent_away = left => {}
+                _too_slow = timeout(CALL_TIMEOUT, answer_caller(stream, &*relay)) => {}
+                _closed_for_newer = closed => {}
             }
-            here.borrow_mut().retain(|(n, _)| *n != number);
+            connected.borrow_mut().retain(|(other, _)| *other != number);
         });
     }
 }
