--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -20,12 +20,11 @@
 /// Pause after a failed accept, which mostly means that the process has run out of descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// The open connections, the oldest first: number, and a sender that closes the connection when it is
-/// dropped.
+/// The open connections, the oldest first: number, and a sender that closes the connection when dropped.
 type Callers = VecDeque<(u64, oneshot::Sender<()>)>;
 
-/// Reads a line, which may also end with the stream. Returns `None` if it is empty, too long, or can't be
-/// read.
+/// Reads a line or, without a line break, all up to the end of the stream. Returns `None` if that is empty or
+/// too long, or if reading fails.
 async fn read_line(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut received = Vec::new();
     let mut buffer = [0; MAX_LINE_BYTES];
--- a/crates/daemon/src/account.rs
+++ b/crates/daemon/src/account.rs
@@ -1,4 +1,4 @@
-//! `serve --account`: the books of slots and waits as lines in the log, and the reading of such lines.
+//! `serve --account`: logs how slots and waiting time were used, and sums up such lines.
 
 use linenhall::{Action, Event, Relay, Settings};
 use mulleinslip_account::{Account, UsageReport};
@@ -8,72 +8,78 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// Begins a line with a sheet.
-const MARK: &str = "account ";
-/// A line so often.
-const EVERY_MS: f64 = 1000.0;
+/// Precedes the report in a line of the log.
+const LINE_PREFIX: &str = "account ";
+/// Interval between lines.
+const LOG_INTERVAL_MS: f64 = 1000.0;
 
-struct Books {
+struct LoggerState {
     account: Account,
-    wrote: f64,
+    /// Time of the last line.
+    logged_at: f64,
+    /// Time of the last round.
     now: f64,
 }
 
-/// The books of this process. Cloned, they are the same ones.
+/// Logs the usage report of this process. Clones share their state.
 #[derive(Clone)]
-pub struct UsageLogger(Rc<RefCell<Books>>);
+pub struct UsageLogger(Rc<RefCell<LoggerState>>);
 
 impl UsageLogger {
     pub fn new(settings: &Settings, now: f64) -> UsageLogger {
-        UsageLogger(Rc::new(RefCell::new(Books { account: Account::new(settings), wrote: now, now })))
+        UsageLogger(Rc::new(RefCell::new(LoggerState {
+            account: Account::new(settings),
+            logged_at: now,
+            now,
+        })))
     }
 
-    /// The process's part of the serving is over.
-    pub fn end(&self) {
-        let mut books = self.0.borrow_mut();
-        let now = books.now;
-        write(&books.account.take(now, true));
+    /// Logs the last report, when the process stops serving.
+    pub fn finish(&self) {
+        let mut state = self.0.borrow_mut();
+        let now = state.now;
+        log_report(&state.account.take(now, true));
     }
 }
 
 impl Observer for UsageLogger {
     fn round(&mut self, now: f64, events: &[Event], actions: &[Action], relay: &Relay) {
-        let mut books = self.0.borrow_mut();
-        books.now = now;
-        books.account.round(now, events, actions, relay);
-        if now - books.wrote >= EVERY_MS {
-            books.wrote = now;
-            write(&books.account.take(now, false));
+        let mut state = self.0.borrow_mut();
+        state.now = now;
+        state.account.round(now, events, actions, relay);
+        if now - state.logged_at >= LOG_INTERVAL_MS {
+            state.logged_at = now;
+            log_report(&state.account.take(now, false));
         }
     }
 }
 
-fn write(usage_report: &UsageReport) {
-    match serde_json::to_string(usage_report) {
-        Ok(text) => eprintln!("mulleinslip: {MARK}{text}"),
-        Err(e) => eprintln!("mulleinslip: no account: {e}"),
+fn log_report(report: &UsageReport) {
+    match serde_json::to_string(report) {
+        Ok(text) => eprintln!("mulleinslip: {LINE_PREFIX}{text}"),
+        Err(e) => eprintln!("mulleinslip: cannot write the account: {e}"),
     }
 }
 
-/// Adds up what stands in these logs, of all relays and processes.
+/// Sums up the reports in these logs, of all relays and processes.
 pub fn read(files: &[&str]) -> Result<UsageReport, String> {
-    let mut sum = UsageReport::default();
+    let mut total = UsageReport::default();
     let mut lines = 0;
     for file in files {
         let text = fs::read(Path::new(file)).map_err(|e| format!("{file}: {e}"))?;
-        for (n, line) in String::from_utf8_lossy(&text).lines().enumerate() {
-            let Some((_, usage_report)) = line.split_once(MARK) else { continue };
-            // A process that was killed may have left half a line.
-            match serde_json::from_str::<UsageReport>(usage_report) {
-                Ok(usage_report) => sum.add(&usage_report),
+        for (index, line) in String::from_utf8_lossy(&text).lines().enumerate() {
+            let Some((_, json)) = line.split_once(LINE_PREFIX) else { continue };
+            // A process that was killed may have left an incomplete line.
+            match serde_json::from_str::<UsageReport>(json) {
+                Ok(report) => total.add(&report),
                 Err(e) if e.is_eof() => {}
-                Err(e) => return Err(format!("{file}: line {}: {e}", n + 1)),
+                Err(e) => return Err(format!("{file}: line {}: {e}", index + 1)),
             }
             lines += 1;
         }
     }
     if lines == 0 {
-        return Err("no line with an account; mulleinslip serve --account writes them".into());
+        return Err("no account lines found; mulleinslip serve --account writes them".into());
     }
-    Ok(sum)
+    Ok(total)
 }
--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line: parses the arguments, and runs all commands but `serve`.
 
 use crate::account;
 use crate::config;
@@ -9,35 +9,35 @@
 const HELP: &str = "\
 mulleinslip, a relay that delivers messages to partner systems and gives each one final answer
 
-  mulleinslip                     serve; what it is told stands in the environment:
-                                  ROUTER_CONFIG (file), ROUTER_STATE (folder that lasts), and, before the
-                                  file's own, ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY
-  mulleinslip serve --account     the same, with a line a second in the log that says where slots and time went
-  mulleinslip serve --audit       the same as the first, with a line in the log for each step in a message's life
-  mulleinslip account LOG...      add such lines up and print them as tables
-  mulleinslip demo                serve beside stand-ins on loopback, hand in a few messages, print their ends
-  mulleinslip check-config FILE   say whether the file can be served with
+  mulleinslip                     serve; the environment gives the configuration:
+                                  ROUTER_CONFIG (file), ROUTER_STATE (state folder), and ROUTER_NAME,
+                                  ROUTER_LISTEN, ROUTER_DISCOVERY, which override the file
+  mulleinslip serve --account     serve, and log once a second how slots and time were used
+  mulleinslip serve --audit       serve, and log each step of each message
+  mulleinslip account LOG...      sum up the lines that serve --account wrote, and print them as tables
+  mulleinslip demo                serve with simulated hosts on loopback, and print the outcomes of a few messages
+  mulleinslip check-config FILE   check whether the file is a valid configuration
   mulleinslip --help | --version
 ";
 
-/// What the arguments ask for.
-pub enum Wanted {
-    /// To serve; with accounts in the log or without.
+/// Result of parsing the arguments.
+pub enum Invocation {
+    /// The caller has to serve; `account` and `audit` enable the lines of that name in the log.
     Serve { account: bool, audit: bool },
-    /// This was done, or failed for this reason.
+    /// The command was run, or failed for this reason.
     Done(Result<(), String>),
 }
 
-/// Does what the arguments ask for, unless that is to serve.
-pub fn run(args: &[String]) -> Wanted {
+/// Parses the arguments, and runs the command unless it is `serve`.
+pub fn run(args: &[String]) -> Invocation {
     let args: Vec<&str> = args.iter().map(String::as_str).collect();
-    Wanted::Done(match args[..] {
-        [] | ["serve"] => return Wanted::Serve { account: false, audit: false },
-        ["serve", "--account"] => return Wanted::Serve { account: true, audit: false },
-        ["serve", "--audit"] => return Wanted::Serve { account: false, audit: true },
+    Invocation::Done(match args[..] {
+        [] | ["serve"] => return Invocation::Serve { account: false, audit: false },
+        ["serve", "--account"] => return Invocation::Serve { account: true, audit: false },
+        ["serve", "--audit"] => return Invocation::Serve { account: false, audit: true },
         ["account", ref logs @ ..] if !logs.is_empty() => account::read(logs).map(|sum| print!("{sum}")),
         ["demo"] => demo(),
-        ["check-config", file] => config::check(Path::new(file)).map(|words| println!("{file}: {words}")),
+        ["check-config", file] => config::check(Path::new(file)).map(|summary| println!("{file}: {summary}")),
         ["--help" | "-h" | "help"] => {
             print!("{HELP}");
             Ok(())
@@ -46,14 +46,18 @@
             println!("mulleinslip {}", env!("CARGO_PKG_VERSION"));
             Ok(())
         }
-        _ => Err(format!("{} is no command; see mulleinslip --help", args.join(" "))),
+        _ => Err(format!("unknown command: {}; see mulleinslip --help", args.join(" "))),
     })
 }
 
-/// The demo is a program of its own, so that no installation carries its stand-ins.
+/// Runs the demo. It is a program of its own, so that an installation does not contain its simulated hosts.
 fn demo() -> Result<(), String> {
-    let this = std::env::current_exe().map_err(|e| format!("this program's file: {e}"))?;
-    let there = this.with_file_name("mulleinslip-demo");
-    let e = Command::new(&there).exec();
-    Err(format!("{}: {e}; cargo build --release -p mulleinslip-demo makes it", there.display()))
+    let program =
+        std::env::current_exe().map_err(|e| format!("cannot find the path of this program: {e}"))?;
+    let demo = program.with_file_name("mulleinslip-demo");
+    let error = Command::new(&demo).exec();
+    Err(format!(
+        "cannot run {}: {error}; cargo build --release -p mulleinslip-demo builds it",
+        demo.display()
+    ))
 }
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -1,4 +1,4 @@
-//! What the relay is told at its start: the environment and config.json, as typed values.
+//! The configuration of the relay: reads and checks the environment and config.json.
 
 use linenhall::Settings;
 use mulleinslip_engine::Names;
@@ -10,41 +10,41 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Destinations in use may have this part of the memory,
-const USED_PART: usize = 16;
-/// at so many bytes each, with traffic (measured, see docs/CAPACITY.md),
-const USED_BYTES: usize = 4000;
-/// and so many have room always.
-const LEAST_USED: usize = 1024;
-/// A list may have this part of the memory, in bytes as it comes: while it is read it takes four times as much (measured, see
-/// docs/CAPACITY.md), that is half.
-const LIST_PART: usize = 8;
+/// Active destinations may take this fraction (one sixteenth) of `limits.memory_mb`.
+const ACTIVE_MEMORY_DIVISOR: usize = 16;
+/// Memory that an active destination takes under traffic, see docs/CAPACITY.md.
+const ACTIVE_DESTINATION_BYTES: usize = 4000;
+/// Minimum number of active destinations for which there is room.
+const MIN_ACTIVE_DESTINATIONS: usize = 1024;
+/// A list as received may take this fraction (one eighth) of `limits.memory_mb`: while it is parsed it takes
+/// four times as much, which is half of the memory, see docs/CAPACITY.md.
+const LIST_MEMORY_DIVISOR: usize = 8;
 
-/// All that the relay is told, checked.
+/// The configuration, checked.
 pub struct Config {
-    /// The configuration's file, to be read again at SIGHUP.
+    /// Path of the configuration file, which is read again at SIGHUP.
     pub file: PathBuf,
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    /// The second address, for on-call staff; none, where none is told.
+    /// The second address, for on-call staff, if it is configured.
     pub control: Option<SocketAddr>,
     pub state: PathBuf,
     pub seed: u64,
     pub sockets: usize,
     pub disk_bytes: u64,
     pub known: List,
-    /// How far a list is read, in bytes.
+    /// Maximum length of a list from discovery.
     pub max_list_bytes: usize,
-    /// So many destinations the decisions and the carrier know at once.
+    /// Maximum number of destinations that the decision module and the carrier know at once.
     pub max_active_destinations: usize,
-    /// What a call for the list costs.
+    /// Cost of a call for the list.
     pub list_calls: PollCost,
     pub settings: Settings,
     pub names: Names,
     pub list_names: ListNames,
     pub connect_timeout: Duration,
-    /// Columns of a load report, in the order in which the module reads them.
+    /// Columns of a load report, in the order in which the decision module reads them.
     pub report_columns: Vec<String>,
 }
 
@@ -67,27 +67,29 @@
 struct FileLimits {
     sockets: usize,
     disk_mb: f64,
-    /// Absent, no more is read of a list than at the least.
+    /// Sets the maximum length of a list and number of active destinations. If absent, their minimums apply.
     #[serde(default)]
     memory_mb: f64,
 }
 
-fn address(what: &str, text: &str) -> Result<SocketAddr, String> {
-    text.parse().map_err(|_| format!("{what} cannot be read: {text}"))
+fn parse_address(what: &str, text: &str) -> Result<SocketAddr, String> {
+    text.parse().map_err(|_| format!("{what} is not a valid address (IP:port): {text}"))
 }
 
-/// An address from the environment, or else from the configuration.
-fn told(what: &str, env: &str, file: Option<&String>) -> Result<SocketAddr, String> {
-    let told = told_perhaps(what, env, file)?;
-    told.ok_or_else(|| format!("{what} is missing: neither {env} nor the configuration has it"))
+/// Returns an address from the environment, or else from the configuration file. It is an error if neither
+/// has it.
+fn required_address(what: &str, env: &str, file: Option<&String>) -> Result<SocketAddr, String> {
+    let address = optional_address(what, env, file)?;
+    address.ok_or_else(|| format!("{what} is missing: set {env}, or {what} in the configuration"))
 }
 
-fn told_perhaps(what: &str, env: &str, file: Option<&String>) -> Result<Option<SocketAddr>, String> {
+/// Returns an address from the environment, or else from the configuration file, if either has it.
+fn optional_address(what: &str, env: &str, file: Option<&String>) -> Result<Option<SocketAddr>, String> {
     let text = std::env::var(env).ok().or_else(|| file.cloned()).filter(|text| !text.is_empty());
-    text.map(|text| address(what, &text)).transpose()
+    text.map(|text| parse_address(what, &text)).transpose()
 }
 
-/// The same with no field that is null. In lists nulls stay, as their places mean something.
+/// Removes fields that are null. Nulls in lists stay, as positions have a meaning there.
 fn without_nulls(value: Value) -> Value {
     match value {
         Value::Object(fields) => {
@@ -99,36 +101,40 @@
     }
 }
 
-/// Reads and checks the file.
+/// Reads and checks the configuration file.
 fn load(path: &Path) -> Result<(File, ParsedSettings), String> {
-    let named = |e: &dyn std::fmt::Display| format!("configuration {}: {e}", path.display());
-    let text = std::fs::read_to_string(path).map_err(|e| named(&e))?;
-    // A field that is null is one that is absent. The error that is told has the line of the text as it stands.
+    let with_path = |e: &dyn std::fmt::Display| format!("configuration {}: {e}", path.display());
+    let text = std::fs::read_to_string(path).map_err(|e| with_path(&e))?;
+    // A field that is null counts as absent. The error is that of the original text, so that its line number
+    // is right.
     let file = serde_json::from_str(&text).or_else(|e| {
-        let nulls_left_out = serde_json::from_str(&text).map(without_nulls).ok();
-        nulls_left_out.and_then(|value| serde_json::from_value::<File>(value).ok()).ok_or(e)
+        let without_null_fields = serde_json::from_str(&text).map(without_nulls).ok();
+        without_null_fields.and_then(|value| serde_json::from_value::<File>(value).ok()).ok_or(e)
     });
-    let file: File = file.map_err(|e| named(&e))?;
+    let file: File = file.map_err(|e| with_path(&e))?;
     if !(file.limits.disk_mb > 0.0 && file.limits.disk_mb < 1e6) {
-        return Err(format!("limits.disk_mb cannot be read: {}", file.limits.disk_mb));
+        return Err(format!(
+            "limits.disk_mb must be above 0 and below 1000000, but is {}",
+            file.limits.disk_mb
+        ));
     }
-    let read = file.settings.read()?;
-    Ok((file, read))
+    let parsed = file.settings.read()?;
+    Ok((file, parsed))
 }
 
-/// The address of discovery in the file as it stands now. The environment does not count: it is as old as the
-/// process. Nothing of a file that can't be read whole is taken over.
-pub fn discovery_now(path: &Path) -> Result<SocketAddr, String> {
+/// Returns the address of discovery from the current configuration file. The environment is ignored, as it
+/// can't change while the process runs. The whole file has to be valid.
+pub fn reload_discovery(path: &Path) -> Result<SocketAddr, String> {
     let (file, _) = load(path)?;
-    address("discovery", &file.discovery.ok_or("discovery is missing in the configuration")?)
+    parse_address("discovery", &file.discovery.ok_or("discovery is missing in the configuration")?)
 }
 
-/// Checks a file without serving. Gives what it says, in a line.
+/// Checks a configuration file without serving. Returns a summary in one line.
 pub fn check(path: &Path) -> Result<String, String> {
     let (file, ParsedSettings { settings, .. }) = load(path)?;
     for (what, text) in [("listen", &file.listen), ("discovery", &file.discovery), ("control", &file.control)]
     {
-        text.as_ref().map(|t| address(what, t)).transpose()?;
+        text.as_ref().map(|text| parse_address(what, text)).transpose()?;
     }
     Ok(format!(
         "good; {} classes, {} tenants, {} slots, {} messages at most, {} hosts known, a journal of {} MB at most",
@@ -141,33 +147,33 @@
     ))
 }
 
-/// Reads the environment and the configuration that it names. The error is one line for the log.
+/// Reads the environment and the configuration file that it names. The error is one line for the log.
 pub fn read() -> Result<Config, String> {
     let path: PathBuf = std::env::var_os("ROUTER_CONFIG").ok_or("ROUTER_CONFIG is not set")?.into();
-    let (file, read) = load(&path)?;
+    let (file, parsed) = load(&path)?;
     let state = std::env::var_os("ROUTER_STATE").ok_or("ROUTER_STATE is not set")?;
     Ok(Config {
         file: path,
         name: std::env::var("ROUTER_NAME").unwrap_or(file.name),
-        listen: told("listen", "ROUTER_LISTEN", file.listen.as_ref())?,
-        discovery: told("discovery", "ROUTER_DISCOVERY", file.discovery.as_ref())?,
-        control: told_perhaps("control", "ROUTER_CONTROL", file.control.as_ref())?,
+        listen: required_address("listen", "ROUTER_LISTEN", file.listen.as_ref())?,
+        discovery: required_address("discovery", "ROUTER_DISCOVERY", file.discovery.as_ref())?,
+        control: optional_address("control", "ROUTER_CONTROL", file.control.as_ref())?,
         state: state.into(),
         seed: u64::from_str_radix(&file.seed, 16).unwrap_or_else(|_| fastrand::u64(..)),
         sockets: file.limits.sockets,
         disk_bytes: (file.limits.disk_mb * 1e6) as u64,
-        max_list_bytes: ((file.limits.memory_mb.clamp(0.0, 1e6) * 1e6) as usize / LIST_PART)
+        max_list_bytes: ((file.limits.memory_mb.clamp(0.0, 1e6) * 1e6) as usize / LIST_MEMORY_DIVISOR)
             .max(MAX_LIST_BYTES),
         max_active_destinations: ((file.limits.memory_mb.clamp(0.0, 1e6) * 1e6) as usize
-            / USED_PART
-            / USED_BYTES)
-            .max(LEAST_USED),
-        list_calls: PollCost::of(read.settings.relays, read.discovery_is_polled),
-        settings: read.settings,
-        names: Names { classes: read.classes, tenants: read.tenants },
-        list_names: ListNames { zones: read.zones, kinds: read.kinds },
-        connect_timeout: Duration::from_secs_f64(read.connect_timeout_ms / 1000.0),
-        report_columns: read.report_columns,
+            / ACTIVE_MEMORY_DIVISOR
+            / ACTIVE_DESTINATION_BYTES)
+            .max(MIN_ACTIVE_DESTINATIONS),
+        list_calls: PollCost::of(parsed.settings.relays, parsed.discovery_is_polled),
+        settings: parsed.settings,
+        names: Names { classes: parsed.classes, tenants: parsed.tenants },
+        list_names: ListNames { zones: parsed.zones, kinds: parsed.kinds },
+        connect_timeout: Duration::from_secs_f64(parsed.connect_timeout_ms / 1000.0),
+        report_columns: parsed.report_columns,
         known: file.known,
     })
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,22 +1,23 @@
-//! mulleinslip, the relay on real sockets: the program as a library, so that others can be it as well.
+//! mulleinslip, the relay on real sockets. The program is a library so that other programs, such as the demo,
+//! can run it.
 
 mod account;
 mod cli;
 mod config;
-mod hearsay;
-mod operate;
+mod membership_updates;
+mod process_control;
 mod serve;
 mod takeover;
 
 use std::process::ExitCode;
 
-/// The program, with these arguments.
+/// Runs the program with these arguments.
 pub fn main(args: &[String]) -> ExitCode {
-    let done = match cli::run(args) {
-        cli::Wanted::Serve { account, audit } => serve::run(account, audit),
-        cli::Wanted::Done(done) => done,
+    let result = match cli::run(args) {
+        cli::Invocation::Serve { account, audit } => serve::run(account, audit),
+        cli::Invocation::Done(result) => result,
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
             serve::log(&why.replace('\n', " "));
--- a/crates/daemon/src/operate.rs
+++ b/crates/daemon/src/process_control.rs
@@ -1,4 +1,4 @@
-//! What on-call staff operate: the parts that answer the second address.
+//! The state of the process as the second address shows and controls it.
 
 use mulleinslip_control::{Metrics, OutcomeCounts, RelayControl};
 use mulleinslip_engine::{Engine, Names};
@@ -8,8 +8,8 @@
 use std::cell::{Cell, OnceCell, RefCell};
 use std::rc::Rc;
 
-/// The parts that stand once the process serves.
-pub struct Serving {
+/// The components that exist once the process serves.
+pub struct ServingParts {
     pub clients: Rc<Clients>,
     pub carrier: Rc<HttpCarrier>,
     pub engine: Rc<RefCell<Engine<Journal, ()>>>,
@@ -17,41 +17,41 @@
     pub clock: Clock,
 }
 
-/// The process as the second address sees it, also while it starts.
-pub struct Operator {
+/// The process as the second address sees it, from its start on.
+pub struct ProcessControl {
     names: Names,
-    serving: OnceCell<Serving>,
-    /// Another process goes on.
-    passed: Cell<bool>,
+    serving: OnceCell<ServingParts>,
+    /// Whether another process has taken over.
+    handed_over: Cell<bool>,
 }
 
-impl Operator {
-    /// A process that does not serve yet.
-    pub fn new(names: Names) -> Operator {
-        Operator { names, serving: OnceCell::new(), passed: Cell::new(false) }
+impl ProcessControl {
+    /// Creates the control of a process that does not serve yet.
+    pub fn new(names: Names) -> ProcessControl {
+        ProcessControl { names, serving: OnceCell::new(), handed_over: Cell::new(false) }
     }
 
-    /// From now on it serves. Said once.
-    pub fn serves(&self, parts: Serving) {
-        let _said_before = self.serving.set(parts);
+    /// Records that the process serves from now on. Only the first call has an effect.
+    pub fn set_serving(&self, parts: ServingParts) {
+        let _set_before = self.serving.set(parts);
     }
 
-    /// Whether another process does.
-    pub fn has_passed(&self) -> bool {
-        self.passed.get()
+    /// Returns whether another process has taken over.
+    pub fn is_handed_over(&self) -> bool {
+        self.handed_over.get()
     }
 
-    /// From now on another process does.
-    pub fn passed(&self) {
-        self.passed.set(true);
+    /// Records that another process has taken over.
+    pub fn set_handed_over(&self) {
+        self.handed_over.set(true);
     }
 }
 
-impl RelayControl for Operator {
+impl RelayControl for ProcessControl {
     fn check(&self) -> Result<(), &'static str> {
         match self.serving.get() {
             None => Err("starting"),
-            Some(_) if self.passed.get() => Err("another process goes on"),
+            Some(_) if self.handed_over.get() => Err("another process goes on"),
             Some(parts) if parts.intake.stopping.get() => Err("stopping"),
             Some(_) => Ok(()),
         }
@@ -65,12 +65,13 @@
         };
         let engine = parts.engine.borrow();
         let (known_hosts, skipped_hosts) = engine.hosts(parts.clock.now());
-        let ends = engine.tally().classes().iter();
-        let ends = ends.map(|e| OutcomeCounts { passed: e.delivered, dropped: e.refused, failed: e.failed });
+        let counts = engine.tally().classes().iter();
+        let counts =
+            counts.map(|c| OutcomeCounts { passed: c.delivered, dropped: c.refused, failed: c.failed });
         Metrics {
-            classes: names.zip(ends).collect(),
+            classes: names.zip(counts).collect(),
             upstream_tries: parts.carrier.attempts_written(),
-            in_progress: if self.passed.get() { 0 } else { engine.held().0 },
+            in_progress: if self.handed_over.get() { 0 } else { engine.held().0 },
             known_hosts,
             skipped_hosts,
         }
@@ -78,7 +79,7 @@
 
     fn drain(&self, on: bool) -> Result<(), &'static str> {
         let parts = self.serving.get().ok_or("starting")?;
-        if self.passed.get() {
+        if self.handed_over.get() {
             return Err("another process goes on");
         }
         parts.clients.drain(on);
--- a/crates/daemon/src/serve.rs
+++ b/crates/daemon/src/serve.rs
@@ -1,12 +1,11 @@
-//! The order in which the parts start, and signals.
+//! Starts the components in order, handles signals, and serves until the end.
 
 use crate::account::UsageLogger;
 use crate::config::{self, Config};
-use crate::hearsay::Hearsay;
-use crate::operate::{Operator, Serving};
-use crate::takeover::{self, Stand, TakenOver};
+use crate::membership_updates::MembershipUpdates;
+use crate::process_control::{ProcessControl, ServingParts};
+use crate::takeover::{self, TakenOver, TakeoverServer};
 use mulleinslip_engine::Engine;
-
 use mulleinslip_http::{
     audit::{self, Step},
     run_notices, CarrierSettings, Clients, Discovery, FetchError, HttpCarrier, HttpFront, Intake, Ticket,
@@ -24,36 +23,38 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
 
-/// The first list is waited for this long; then the list in the configuration has to do.
-const FIRST_LIST: Duration = Duration::from_millis(400);
-/// From SIGTERM until idle client connections are closed: until then new ones may come.
-const KEEP_LISTENING: Duration = Duration::from_millis(450);
-/// SIGKILL may come 3.7 s after SIGTERM; connections go on coming for up to 0.4 s.
-const STOP: ShutdownTimes = ShutdownTimes { calls_end_ms: 3500.0, linger_ms: 600.0, exit_ms: 3600.0 };
-/// Whoever has begun a request has it answered when the process ends; so long is waited for it, which is longer than a
-/// request may take to come whole, and never beyond the end of [`STOP`].
-const FINISH: Duration = Duration::from_millis(850);
-/// The last part of [`FINISH`], in which those are refused whose request is not whole, and closed.
-const FINISH_CLOSE: Duration = Duration::from_millis(300);
-/// From SIGTERM until the same is done where something is owed yet: so long before the end of [`STOP`].
-const LAST_CLOSE: Duration = Duration::from_millis(3300);
-/// Descriptors for all that is not a connection of a client or to a host: standard streams 3, event loop and
-/// signals 5, listener and one more client than there are places 2, journal 2, discovery 2, notices 2, the
-/// configuration 1, the second address with its callers and one more 10, the socket for a new process and its
-/// copy of the listener 3; the rest is room for what the runtime may need.
+/// Time to wait for the first list; after it the relay starts with the list in the configuration.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time from SIGTERM until idle client connections are closed; new ones may arrive until then.
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(450);
+/// Times of the shutdown. SIGKILL may come 3.7 s after SIGTERM; new connections may arrive for 0.4 s.
+const SHUTDOWN_TIMES: ShutdownTimes =
+    ShutdownTimes { calls_end_ms: 3500.0, linger_ms: 600.0, exit_ms: 3600.0 };
+/// Time that the process waits at its end for requests that clients have begun, so that they are answered.
+/// Longer than a request may take to arrive completely; the end of [`SHUTDOWN_TIMES`] limits it.
+const FINISH_TIMEOUT: Duration = Duration::from_millis(850);
+/// The last part of [`FINISH_TIMEOUT`], in which incomplete requests are refused and closed.
+const REFUSE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time from SIGTERM until incomplete requests are refused even if answers are pending: 300 ms before the
+/// end of [`SHUTDOWN_TIMES`].
+const FORCED_CLOSE_DELAY: Duration = Duration::from_millis(3300);
+/// Number of descriptors besides connections of clients and to hosts: standard streams 3, event loop and
+/// signals 5, listener and one client above the limit 2, journal 2, discovery 2, notices 2, the configuration
+/// 1, the second address with its callers and one above their limit 10, the takeover socket and its copy of
+/// the listener 3; the rest is a reserve for the runtime.
 const OTHER_DESCRIPTORS: usize = 36;
-/// A process that takes over has nearly as many of its own before it has a single connection, and both together keep
-/// to the limit: 3 standard streams, event loop and signals 5, listener 1, second address 1, journal 2, discovery 2,
-/// notices 1, the channel 1; the rest for callers.
-const NEXT_PROCESS: usize = 20;
+/// Number of descriptors that a process that takes over has before its first connection; both processes
+/// together stay within the limit: standard streams 3, event loop and signals 5, listener 1, second address
+/// 1, journal 2, discovery 2, notices 1, the channel 1; the rest is for callers of the second address.
+const NEXT_PROCESS_DESCRIPTORS: usize = 20;
 
-/// Serves as the environment says, until a signal. The error is one line.
+/// Reads the configuration and serves until SIGTERM or a takeover. The error is one line.
 pub fn run(account: bool, audit: bool) -> Result<(), String> {
-    // A task that panics would leave its message without an end and nobody the wiser; a process that ends
-    // starts again from its journal.
-    let report = std::panic::take_hook();
+    // A task that panics would leave its message without a final answer, unnoticed. A process that aborts is
+    // restarted and recovers from its journal.
+    let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
-        report(panic);
+        default_hook(panic);
         std::process::abort();
     }));
     let config = config::read()?;
@@ -61,31 +62,32 @@
         mulleinslip_http::audit::enable();
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
+    let runtime = runtime.map_err(|e| format!("Tokio runtime: {e}"))?;
     tokio::task::LocalSet::new().block_on(&runtime, serve(config, account))
 }
 
-/// A line for the log.
-pub fn log(words: &str) {
-    eprintln!("mulleinslip: {words}");
+/// Writes a line to the log.
+pub fn log(text: &str) {
+    eprintln!("mulleinslip: {text}");
 }
 
 async fn serve(config: Config, account: bool) -> Result<(), String> {
     let clock = Clock::start();
-    // Before anything that takes time: without a handler a signal ends the process.
+    // First of all, since a signal without a handler ends the process.
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
     let mut reload = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
-    let operator = Rc::new(Operator::new(config.names.clone()));
+    let process_control = Rc::new(ProcessControl::new(config.names.clone()));
     if let Some(address) = config.control {
         let control = TcpListener::bind(address).await.map_err(|e| format!("control on {address}: {e}"))?;
-        let at = control.local_addr().map_err(|e| format!("control on {address}: {e}"))?;
-        log(&format!("{} control on {at}", config.name));
-        spawn_local(mulleinslip_control::serve(control, operator.clone()));
+        let bound_address = control.local_addr().map_err(|e| format!("control on {address}: {e}"))?;
+        log(&format!("{} control on {bound_address}", config.name));
+        spawn_local(mulleinslip_control::serve(control, process_control.clone()));
     }
-    let connections = config.sockets.saturating_sub(OTHER_DESCRIPTORS + NEXT_PROCESS).max(2) / 2;
+    let max_connections =
+        config.sockets.saturating_sub(OTHER_DESCRIPTORS + NEXT_PROCESS_DESCRIPTORS).max(2) / 2;
     let view = Rc::new(RefCell::new(View::new(Vec::new(), config.max_active_destinations)));
     let carrier_settings = CarrierSettings {
-        max_open: connections,
+        max_open: max_connections,
         connect_timeout: config.connect_timeout,
         conn_idle_ms: config.settings.conn_idle_ms,
         names: config.list_names,
@@ -93,86 +95,93 @@
         report_columns: config.report_columns,
     };
     let carrier = Rc::new(HttpCarrier::new(carrier_settings, view.clone()));
-    let (notices, notices_inbox) = mpsc::unbounded_channel();
+    let (notice_sender, notice_receiver) = mpsc::unbounded_channel();
     let queue = Runtime::<Journal, Ticket, HttpCarrier, HttpFront>::queue();
     let handle = queue.0.clone();
-    // What discovery's agent has counts as told: a host that has left meanwhile must not be sent to. Asked before the
-    // folder is opened: a process that is taken over from stands still until that is over.
+    // The relay must not send to a host whose departure the agent already knows, so it asks for the list
+    // first. It does so before it opens the folder, because a process that is taken over from pauses until
+    // the takeover is complete.
     let mut agent = Discovery::new(config.discovery, config.list_calls).reads(config.max_list_bytes);
-    let start = agent.start_after(config.known.index);
-    let spread = agent.spread();
-    let mut asking = Box::pin(async move {
-        tokio::time::sleep(spread).await;
-        let first = agent.ask(start).await;
+    let start_version = agent.start_after(config.known.index);
+    let start_delay = agent.spread();
+    let mut first_request = Box::pin(async move {
+        tokio::time::sleep(start_delay).await;
+        let first = agent.ask(start_version).await;
         (agent, first)
     });
-    // A call that is late goes on: asked anew it would cost discovery twice.
-    let wait = if start.is_some() { Duration::ZERO } else { FIRST_LIST };
-    let (agent, first) = match tokio::time::timeout(wait, &mut asking).await {
+    // A late call continues in the background: repeating it would cost discovery twice.
+    let wait = if start_version.is_some() { Duration::ZERO } else { FIRST_LIST_TIMEOUT };
+    let (agent, first) = match tokio::time::timeout(wait, &mut first_request).await {
         Ok((agent, first)) => (Some(agent), first),
         Err(_) => (None, Err(FetchError::Failed("no answer in time".into()))),
     };
-    // Where nothing is waited for, nothing is late.
+    // If the relay does not wait for the list, a missing one is no error.
     let first = first.inspect_err(|e| {
-        if start.is_none() {
-            log(&format!("first list: {e}; starting from the known one"));
+        if start_version.is_none() {
+            log(&format!("no list from discovery: {e}; starting with the known hosts"));
         }
     });
 
     let opened = takeover::open(&config.state, config.disk_bytes).await;
-    let (journal, mut left, taken) =
+    let (journal, mut recovered, taken_over) =
         opened.map_err(|e| format!("journal in {}: {e}", config.state.display()))?;
-    for kept in &left.messages {
-        audit::note(&kept.message.call_id, || Step::Restored {
-            due: kept.message.due,
-            attempts: kept.attempts.len(),
-            given_up: kept.given_up.is_some(),
+    for recovered_message in &recovered.messages {
+        audit::note(&recovered_message.message.call_id, || Step::Restored {
+            due: recovered_message.message.due,
+            attempts: recovered_message.attempts.len(),
+            given_up: recovered_message.given_up.is_some(),
         });
     }
-    left.notes.iter().for_each(|note| log(note));
+    recovered.notes.iter().for_each(|note| log(note));
     let mut engine = Engine::new(config.settings.clone(), config.seed, config.names.clone(), journal);
-    let books = account.then(|| UsageLogger::new(&config.settings, clock.now()));
-    books.iter().for_each(|books| engine.observe(Box::new(books.clone())));
-    let mut runtime = Runtime::new(engine, carrier.clone(), HttpFront::new(notices), clock, queue, log);
+    let usage_logger = account.then(|| UsageLogger::new(&config.settings, clock.now()));
+    usage_logger.iter().for_each(|logger| engine.observe(Box::new(logger.clone())));
+    let mut runtime = Runtime::new(engine, carrier.clone(), HttpFront::new(notice_sender), clock, queue, log);
 
-    let offer = taken.as_ref().map(|t| t.offer.clone()).unwrap_or_default();
-    takeover::restore_retry_afters(&carrier, &offer.retry_afters);
+    let handover = taken_over.as_ref().map(|t| t.state.clone()).unwrap_or_default();
+    takeover::restore_retry_afters(&carrier, &handover.retry_afters);
     let now = clock.now();
-    let learnt = takeover::learnt(&offer);
-    let waits = offer.retry_afters.iter().cloned().map(|(dest, host, ms)| (dest, host, now + ms)).collect();
-    let alive = Predecessor {
-        is_running: taken.is_some(),
-        attempts_in_flight: offer.attempts_in_flight.clone(),
-        retry_afters: waits,
+    let learnt = takeover::decode_learnt(&handover);
+    let retry_afters =
+        handover.retry_afters.iter().cloned().map(|(dest, host, ms)| (dest, host, now + ms)).collect();
+    let predecessor = Predecessor {
+        is_running: taken_over.is_some(),
+        attempts_in_flight: handover.attempts_in_flight.clone(),
+        retry_afters,
         learnt,
     };
-    let (call_off, call_offs) = mpsc::unbounded_channel();
+    let (cancel_sender, cancellations) = mpsc::unbounded_channel();
     runtime.cancel_elsewhere(move |id, attempt| {
-        let _gone = call_off.send((id, attempt));
+        let _closed = cancel_sender.send((id, attempt));
     });
-    let (told, index) = takeover::lists(&offer, first.ok(), config.discovery);
-    let departed = std::mem::take(&mut left.tombstones).into_iter();
-    let departed = departed.map(|(name, since_ms, agent, index)| Tombstone { name, since_ms, agent, index });
-    *view.borrow_mut() = View::new(departed.collect(), config.max_active_destinations);
-    let hearsay = Hearsay::new(view.clone(), runtime.engine(), carrier.clone(), handle.clone(), clock);
-    let lists = hearsay.first(config.known, config.discovery, told);
-    runtime.restore(lists, left, &alive);
+    let (agent_lists, index) = takeover::decode_lists(&handover, first.ok(), config.discovery);
+    let tombstones = std::mem::take(&mut recovered.tombstones).into_iter();
+    let tombstones =
+        tombstones.map(|(name, since_ms, agent, index)| Tombstone { name, since_ms, agent, index });
+    *view.borrow_mut() = View::new(tombstones.collect(), config.max_active_destinations);
+    let membership_updates =
+        MembershipUpdates::new(view.clone(), runtime.engine(), carrier.clone(), handle.clone(), clock);
+    let lists = membership_updates.initial_lists(config.known, config.discovery, agent_lists);
+    runtime.restore(lists, recovered, &predecessor);
 
-    let (moved, place) = watch::channel(config.discovery);
-    spawn_local(run_notices(place.clone(), notices_inbox, handle.clone()));
-    let (mut watched, mut index) = (place.clone(), index.or(start));
-    let (told_at, calls, most) = (config.discovery, config.list_calls, config.max_list_bytes);
+    let (agent_sender, agent_address) = watch::channel(config.discovery);
+    spawn_local(run_notices(agent_address.clone(), notice_receiver, handle.clone()));
+    let (mut watched_address, mut index) = (agent_address.clone(), index.or(start_version));
+    let (first_agent, list_calls, max_list_bytes) =
+        (config.discovery, config.list_calls, config.max_list_bytes);
     spawn_local(async move {
         let agent = match agent {
             Some(agent) => agent,
             None => tokio::select! {
                 biased;
-                // The call that is out went to where the list is told no more.
-                Ok(()) = watched.changed() => Discovery::new(told_at, calls).reads(most),
-                (agent, first) = asking => {
+                // The address of discovery has changed: the call in flight went to the previous agent.
+                Ok(()) = watched_address.changed() => {
+                    Discovery::new(first_agent, list_calls).reads(max_list_bytes)
+                }
+                (agent, first) = first_request => {
                     if let Ok(list) = first {
                         index = Some(list.index);
-                        if !hearsay.apply(told_at, list) {
+                        if !membership_updates.apply(first_agent, list) {
                             return;
                         }
                     }
@@ -180,15 +189,15 @@
                 }
             },
         };
-        agent.watch(index, watched, move |agent, list| hearsay.apply(agent, list)).await;
+        agent.watch(index, watched_address, move |agent, list| membership_updates.apply(agent, list)).await;
     });
     let file = config.file;
     spawn_local(async move {
         while reload.recv().await.is_some() {
-            match config::discovery_now(&file) {
+            match config::reload_discovery(&file) {
                 Ok(address) => {
                     log(&format!("SIGHUP; discovery and notices at {address}"));
-                    moved.send_if_modified(|at| std::mem::replace(at, address) != address);
+                    agent_sender.send_if_modified(|current| std::mem::replace(current, address) != address);
                 }
                 Err(e) => log(&format!("SIGHUP; nothing changed: {}", e.replace('\n', " "))),
             }
@@ -196,10 +205,10 @@
     });
     let sweeper = carrier.clone();
     spawn_local(async move { sweeper.sweep().await });
-    let passed = taken.as_ref().and_then(|t| t.listener.as_ref()).map(|l| l.try_clone());
-    let listener = listen(config.listen, passed.transpose().unwrap_or_default()).await;
+    let inherited = taken_over.as_ref().and_then(|t| t.listener.as_ref()).map(|l| l.try_clone());
+    let listener = listen(config.listen, inherited.transpose().unwrap_or_default()).await;
     let listener = listener.map_err(|e| format!("listen on {}: {e}", config.listen))?;
-    let listening = listener.local_addr().map_err(|e| format!("listen on {}: {e}", config.listen))?;
+    let listen_address = listener.local_addr().map_err(|e| format!("listen on {}: {e}", config.listen))?;
     let intake = Rc::new(Intake {
         names: config.names,
         classes: config.settings.classes.clone(),
@@ -209,82 +218,94 @@
         away: Cell::default(),
         paused: watch::Sender::new(false),
     });
-    let door = listener.as_fd().try_clone_to_owned().map_err(|e| format!("the listener: {e}"))?;
-    let clients = Clients::new(intake.clone(), connections);
+    let listener_copy =
+        listener.as_fd().try_clone_to_owned().map_err(|e| format!("cannot duplicate the listener: {e}"))?;
+    let clients = Clients::new(intake.clone(), max_connections);
     spawn_local(clients.clone().sweep());
     spawn_local(clients.clone().serve(listener));
-    if let Some(TakenOver { channel, .. }) = taken {
+    if let Some(TakenOver { channel, .. }) = taken_over {
         log("goes on for another process");
-        if offer.drained {
+        if handover.drained {
             clients.drain(true);
         }
         let (clients, carrier, handle) = (clients.clone(), carrier.clone(), handle.clone());
-        spawn_local(takeover::follow(channel, offer.attempts_in_flight, call_offs, clients, carrier, handle));
+        spawn_local(takeover::follow_old_process(
+            channel,
+            handover.attempts_in_flight,
+            cancellations,
+            clients,
+            carrier,
+            handle,
+        ));
     }
-    let stand = Stand {
+    let takeover_server = TakeoverServer {
         folder: config.state,
-        listener: door,
+        listener: listener_copy,
         intake: intake.clone(),
         clients: clients.clone(),
         carrier: carrier.clone(),
         view,
         engine: runtime.engine(),
         clock,
-        place: place.clone(),
+        agent_address: agent_address.clone(),
         handle: handle.clone(),
-        operator: operator.clone(),
+        process_control: process_control.clone(),
     };
-    let passing = spawn_local(stand.wait());
-    operator.serves(Serving {
+    let handover_task = spawn_local(takeover_server.run());
+    process_control.set_serving(ServingParts {
         clients: clients.clone(),
         carrier,
         engine: runtime.engine(),
         intake: intake.clone(),
         clock,
     });
-    let (go, mut told_to_go) = watch::channel(false);
-    let (told, leaving) = (Rc::new(Cell::new(Instant::now())), clients.clone());
-    let stopped = told.clone();
+    let (stop_sender, mut stop_requested) = watch::channel(false);
+    let (stopped_at, closing_clients) = (Rc::new(Cell::new(Instant::now())), clients.clone());
+    let stop_time = stopped_at.clone();
     spawn_local(async move {
         terminate.recv().await;
         log("SIGTERM; taking on nothing more");
-        told.set(Instant::now());
-        let _serving_yet = go.send(true);
+        stopped_at.set(Instant::now());
+        let _still_serving = stop_sender.send(true);
         intake.stopping.set(true);
-        let _stopped_already = handle.stop(STOP);
-        tokio::time::sleep(KEEP_LISTENING).await;
+        let _stopped_already = handle.stop(SHUTDOWN_TIMES);
+        tokio::time::sleep(IDLE_CLOSE_DELAY).await;
         clients.close_idle();
-        // SIGKILL may be near: by then nobody may be here that has sent something.
-        tokio::time::sleep(LAST_CLOSE.saturating_sub(KEEP_LISTENING)).await;
+        // SIGKILL may follow soon: by then no client with an unanswered request may be connected.
+        tokio::time::sleep(FORCED_CLOSE_DELAY.saturating_sub(IDLE_CLOSE_DELAY)).await;
         clients.finish(Duration::ZERO).await;
     });
-    eprintln!("mulleinslip: {} serves on {listening}", config.name);
+    eprintln!("mulleinslip: {} serves on {listen_address}", config.name);
     runtime.run().await;
-    books.iter().for_each(UsageLogger::end);
-    if !operator.has_passed() {
-        // Nothing is owed any more, but for an answer to those whose request is coming: they may not know yet.
-        let exit = Duration::from_secs_f64(STOP.exit_ms / 1000.0);
-        let left = exit.saturating_sub(stopped.get().elapsed()).min(FINISH);
-        let _left_at_last =
-            tokio::time::timeout(left, leaving.finish(left.saturating_sub(FINISH_CLOSE))).await;
+    usage_logger.iter().for_each(UsageLogger::finish);
+    if !process_control.is_handed_over() {
+        // No final answer is pending, but clients that are sending a request may not know yet that the
+        // process stops.
+        let exit = Duration::from_secs_f64(SHUTDOWN_TIMES.exit_ms / 1000.0);
+        let remaining = exit.saturating_sub(stop_time.get().elapsed()).min(FINISH_TIMEOUT);
+        let _may_time_out =
+            tokio::time::timeout(remaining, closing_clients.finish(remaining.saturating_sub(REFUSE_TIMEOUT)))
+                .await;
     } else {
-        let _all_is_passed = passing.await;
+        let _all_handed_over = handover_task.await;
         tokio::select! {
-            () = takeover::linger() => {}
-            _ = told_to_go.changed() => {}
+            () = takeover::serve_last_callers() => {}
+            _ = stop_requested.changed() => {}
         }
     }
     Ok(())
 }
 
-/// Listens, on what an earlier process listened on if that is the address.
-async fn listen(at: SocketAddr, passed: Option<std::net::TcpListener>) -> std::io::Result<TcpListener> {
-    if let Some(listener) = passed {
-        let passed = listener.local_addr()?;
-        if passed == at || (at.port() == 0 && passed.ip() == at.ip()) {
+/// Listens on the address, with the listener of the old process if that has the same address.
+async fn listen(
+    address: SocketAddr, inherited: Option<std::net::TcpListener>,
+) -> std::io::Result<TcpListener> {
+    if let Some(listener) = inherited {
+        let bound_address = listener.local_addr()?;
+        if bound_address == address || (address.port() == 0 && bound_address.ip() == address.ip()) {
             listener.set_nonblocking(true)?;
             return TcpListener::from_std(listener);
         }
     }
-    TcpListener::bind(at).await
+    TcpListener::bind(address).await
 }
--- a/crates/daemon/src/takeover.rs
+++ b/crates/daemon/src/takeover.rs
@@ -1,7 +1,7 @@
-//! One process of the relay takes over from another: the parts of each side put together. What each may do when is
-//! `mulleinslip_takeover::protocol`'s.
+//! Takeover between two processes of the relay: connects the protocol of `mulleinslip_takeover::protocol`
+//! with the components of either side.
 
-use crate::operate::Operator;
+use crate::process_control::ProcessControl;
 use mulleinslip_engine::{AttemptEnd as EngineAttemptEnd, Engine};
 use mulleinslip_http::{Clients, HandedOverConnection, Handle, HttpCarrier, Intake, List};
 use mulleinslip_journal::{Journal, RecoveredState};
@@ -25,178 +25,186 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// What the other process may take to say what comes next. It reads a journal of a few megabytes in between; clients
-/// wait 400 ms for an answer, but those whose request waits that long lose less than by a takeover that breaks off.
-const NEXT: Duration = Duration::from_secs(2);
-/// How long the folder may belong to another process that can't be asked: one that stops takes 3.7 s for it.
-const FOLDER_FREE: Duration = Duration::from_secs(15);
-/// Between looks whether it is free.
-const LOOK: Duration = Duration::from_millis(20);
-/// So long the old process stays once it has nothing more to do, for who asks its second address.
-const LINGER: Duration = Duration::from_millis(1500);
+/// Time that the other process may take to send its next frame. It may read a journal of a few megabytes
+/// meanwhile. This is longer than the 400 ms that clients wait for an answer, as an aborted takeover would
+/// cost them more.
+const FRAME_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time to wait for a folder whose owner can't be asked; a process that stops owns it for up to 3.7 s.
+const FOLDER_TIMEOUT: Duration = Duration::from_secs(15);
+/// Pause between two checks, such as whether the folder is free.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time for which the old process answers its second address after it has handed everything over.
+const LAST_CALLERS_TIME: Duration = Duration::from_millis(1500);
 
-fn log(words: &str) {
-    eprintln!("mulleinslip: {words}");
+fn log(text: &str) {
+    eprintln!("mulleinslip: {text}");
 }
 
-/// What came with the folder, if another process had it.
+/// What the old process handed over together with the folder.
 pub struct TakenOver {
     pub channel: Channel,
-    pub offer: HandoverState,
+    pub state: HandoverState,
     pub listener: Option<TcpListener>,
 }
 
-/// Opens the folder, and takes over from a process that serves from it.
-pub async fn open(folder: &Path, most: u64) -> io::Result<(Journal, RecoveredState, Option<TakenOver>)> {
+/// Opens the state folder. Takes over from the process that owns it, if there is one.
+pub async fn open(folder: &Path, max_bytes: u64) -> io::Result<(Journal, RecoveredState, Option<TakenOver>)> {
     let start = Instant::now();
-    let mut said = false;
+    let mut logged = false;
     loop {
-        match Journal::open(folder.to_path_buf(), most) {
-            Err(e) if e.kind() == ErrorKind::WouldBlock && start.elapsed() < FOLDER_FREE => {}
-            other => return other.map(|(journal, left)| (journal, left, None)),
+        match Journal::open(folder.to_path_buf(), max_bytes) {
+            Err(e) if e.kind() == ErrorKind::WouldBlock && start.elapsed() < FOLDER_TIMEOUT => {}
+            other => return other.map(|(journal, recovered)| (journal, recovered, None)),
         }
-        // One of an older version goes on all the same, with what that version tells.
+        // An old process of an earlier version rejects the current one and is asked again with the first.
         for version in (FIRST_VERSION..=VERSION).rev() {
             let Ok(channel) = Channel::connect(folder) else { break };
-            match ask(channel, version, folder, most).await {
-                Ok((journal, left, taken)) => return Ok((journal, left, Some(taken))),
-                Err(why) if !said && version == FIRST_VERSION => {
+            match request_takeover(channel, version, folder, max_bytes).await {
+                Ok((journal, recovered, taken_over)) => return Ok((journal, recovered, Some(taken_over))),
+                Err(why) if !logged && version == FIRST_VERSION => {
                     log(&format!("no takeover: {why}; waiting for the folder"));
-                    said = true;
+                    logged = true;
                 }
                 Err(_) => {}
             }
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn ask(
-    channel: Channel, version: u16, folder: &Path, most: u64,
+/// Asks the old process for a takeover in this version of the protocol, and takes the folder over.
+async fn request_takeover(
+    channel: Channel, version: u16, folder: &Path, max_bytes: u64,
 ) -> io::Result<(Journal, RecoveredState, TakenOver)> {
     channel.send(&ToOld::Ask { version }, None).await?;
     let (mut new, mut listener, mut opened) = (NewProcess::default(), None, None);
     loop {
-        let heard =
-            timeout(NEXT, channel.receive()).await.map_err(|_| io::Error::from(ErrorKind::TimedOut))??;
-        let (frame, with) = heard.map_or((None, None), |(frame, with)| (Some(frame), with));
+        let received = timeout(FRAME_TIMEOUT, channel.receive())
+            .await
+            .map_err(|_| io::Error::from(ErrorKind::TimedOut))??;
+        let (frame, descriptor) =
+            received.map_or((None, None), |(frame, descriptor)| (Some(frame), descriptor));
         match new.on(frame) {
             NewStep::Wait => {}
             NewStep::Open => {
-                listener = with.map(TcpListener::from);
-                opened = Some(Journal::open(folder.to_path_buf(), most)?);
+                listener = descriptor.map(TcpListener::from);
+                opened = Some(Journal::open(folder.to_path_buf(), max_bytes)?);
                 channel.send(&ToOld::FolderOpened, None).await?;
             }
-            NewStep::Serve(offer) => {
-                let (journal, left) = opened.ok_or_else(|| io::Error::other("the folder is not open"))?;
-                return Ok((journal, left, TakenOver { channel, offer, listener }));
+            NewStep::Serve(state) => {
+                let (journal, recovered) =
+                    opened.ok_or_else(|| io::Error::other("the state folder is not open"))?;
+                return Ok((journal, recovered, TakenOver { channel, state, listener }));
             }
             NewStep::GiveUp(why) => return Err(io::Error::other(why)),
         }
     }
 }
 
-/// Goes on with what an old process still has, until it is gone.
-pub async fn follow(
-    channel: Channel, out: Vec<(u64, u32)>, mut call_offs: UnboundedReceiver<(u64, u32)>,
+/// Takes over connections and ends of attempts from the old process until it exits. Cancels attempts there.
+pub async fn follow_old_process(
+    channel: Channel, attempts_in_flight: Vec<(u64, u32)>, mut cancellations: UnboundedReceiver<(u64, u32)>,
     clients: Rc<Clients>, carrier: Rc<HttpCarrier>, handle: Handle,
 ) {
-    let mut out: HashSet<(u64, u32)> = out.into_iter().collect();
+    let mut in_flight: HashSet<(u64, u32)> = attempts_in_flight.into_iter().collect();
     loop {
-        let heard = tokio::select! {
+        let received = tokio::select! {
             biased;
-            Some((id, attempt)) = call_offs.recv() => {
+            Some((id, attempt)) = cancellations.recv() => {
                 let _gone = channel.send(&ToOld::CancelAttempt { id, attempt }, None).await;
                 continue;
             }
-            heard = channel.receive() => heard,
+            received = channel.receive() => received,
         };
-        match heard {
-            Ok(Some((ToNew::Client { unread }, Some(fd)))) => {
+        match received {
+            Ok(Some((ToNew::Client { unread }, Some(descriptor)))) => {
                 let clients = clients.clone();
-                let passed = HandedOverConnection { stream: TcpStream::from(fd), unread };
+                let connection = HandedOverConnection { stream: TcpStream::from(descriptor), unread };
                 spawn_local(async move {
-                    if let Err(e) = clients.take_over(passed).await {
-                        log(&format!("a client's connection: {e}"));
+                    if let Err(e) = clients.take_over(connection).await {
+                        log(&format!("cannot take over a client's connection: {e}"));
                     }
                 });
             }
             Ok(Some((ToNew::RetryAfters(rows), _))) => restore_retry_afters(&carrier, &rows),
-            Ok(Some((ToNew::Host { endpoint, idle_ms }, Some(fd)))) => {
+            Ok(Some((ToNew::Host { endpoint, idle_ms }, Some(descriptor)))) => {
                 let idle = Duration::from_secs_f64(idle_ms.clamp(0.0, 1e9) / 1000.0);
-                if let Err(e) = carrier.take_over_idle(&endpoint, idle, fd).await {
-                    log(&format!("a connection to {endpoint}: {e}"));
+                if let Err(e) = carrier.take_over_idle(&endpoint, idle, descriptor).await {
+                    log(&format!("cannot take over a connection to {endpoint}: {e}"));
                 }
             }
-            Ok(Some((ToNew::Ended(e), _))) => {
-                if out.remove(&(e.id, e.attempt)) {
-                    let AttemptEnd { id, attempt, took_ms, outcome, settled, answered, wait_ms, report } = e;
+            Ok(Some((ToNew::Ended(ended), _))) => {
+                if in_flight.remove(&(ended.id, ended.attempt)) {
+                    let AttemptEnd { id, attempt, took_ms, outcome, settled, answered, wait_ms, report } =
+                        ended;
                     let response = answered.then_some(());
                     let end = EngineAttemptEnd { outcome, settled, wait_ms, report, response };
                     handle.ended(ForwardedEnd { id, attempt, took_ms, end });
                 }
             }
-            Ok(Some(_)) => log("the process before this one doesn't keep to the protocol"),
+            Ok(Some(_)) => log("the old process violated the takeover protocol"),
             other => {
                 if let Err(e) = other {
-                    log(&format!("the process before this one: {e}"));
+                    log(&format!("connection to the old process: {e}"));
                 }
                 break;
             }
         }
     }
-    // It is gone, or can't be understood: what it had out may have run.
-    for (id, attempt) in out {
+    // The old process has exited or can't be understood: its attempts in flight may have run.
+    for (id, attempt) in in_flight {
         let end = EngineAttemptEnd::without_response(linenhall::Outcome::Broken);
         handle.ended(ForwardedEnd { id, attempt, took_ms: 0.0, end });
     }
 }
 
-/// What the old process has learnt. A part that can't be read is left out: it is of use, and nothing depends on it.
-pub fn learnt(offer: &HandoverState) -> Vec<linenhall::Learnt> {
-    let read = offer.learnt.iter().filter_map(|part| match serde_json::from_str(part) {
+/// Decodes the learnt state of the old process. Skips a part that can't be read: the relay works without it.
+pub fn decode_learnt(state: &HandoverState) -> Vec<linenhall::Learnt> {
+    let decoded = state.learnt.iter().filter_map(|part| match serde_json::from_str(part) {
         Ok(part) => Some(part),
         Err(e) => {
-            log(&format!("takeover: a part of what was learnt: {e}"));
+            log(&format!("takeover: cannot read a part of the learnt state: {e}"));
             None
         }
     });
-    read.collect()
+    decoded.collect()
 }
 
-/// What `agent` told, the newest last, and the version that is held. The old process's may be newer than the one just asked
-/// for, or the only one there is.
-pub fn lists(offer: &HandoverState, first: Option<List>, agent: SocketAddr) -> (Vec<List>, Option<u64>) {
-    let mut passed: Option<List> = None;
-    for (_, part) in offer.list.iter().filter(|(told_by, _)| *told_by == agent.to_string()) {
+/// Returns the lists that came from `agent`, the newest last, and the highest version among them. The list of
+/// the old process may be newer than `first`, the one that this process has fetched, or the only one.
+pub fn decode_lists(
+    state: &HandoverState, first: Option<List>, agent: SocketAddr,
+) -> (Vec<List>, Option<u64>) {
+    let mut handed_over: Option<List> = None;
+    for (_, part) in state.list.iter().filter(|(source, _)| *source == agent.to_string()) {
         match serde_json::from_str::<List>(part) {
-            Ok(part) => passed
+            Ok(part) => handed_over
                 .get_or_insert_with(|| List { endpoints: Vec::new(), ..part })
                 .endpoints
                 .extend(part.endpoints),
-            Err(e) => log(&format!("takeover: a part of the list: {e}")),
+            Err(e) => log(&format!("takeover: cannot read a part of the list: {e}")),
         }
     }
-    let index = [&first, &passed].into_iter().flatten().map(|list| list.index).max();
-    let mut told: Vec<List> = passed.into_iter().chain(first).collect();
-    // Of equals the one just asked for.
-    told.sort_by_key(|list| list.index);
-    (told, index)
+    let index = [&first, &handed_over].into_iter().flatten().map(|list| list.index).max();
+    let mut lists: Vec<List> = handed_over.into_iter().chain(first).collect();
+    // The sort is stable: of two lists of the same version the one that this process fetched is last.
+    lists.sort_by_key(|list| list.index);
+    (lists, index)
 }
 
-/// Has the carrier heed waits as they stand in a frame.
+/// Restores Retry-After times from the rows of a frame.
 pub fn restore_retry_afters(carrier: &HttpCarrier, rows: &[(u64, String, f64)]) {
-    let spans = rows
+    let durations = rows
         .iter()
         .map(|(dest, host, ms)| (*dest, host.clone(), Duration::from_secs_f64(ms.clamp(0.0, 1e9) / 1000.0)));
-    carrier.restore_retry_afters(&spans.collect::<Vec<_>>());
+    carrier.restore_retry_afters(&durations.collect::<Vec<_>>());
 }
 
-/// Hosts of a list that is passed on.
-const MOST_PASSED: usize = 8192;
+/// Maximum number of hosts in a list that is handed over.
+const MAX_LIST_HOSTS: usize = 8192;
 
-/// The parts of a process that serves, for one that takes over.
-pub struct Stand {
+/// The components of a process that serves, and that another process may take over from.
+pub struct TakeoverServer {
     pub folder: PathBuf,
     pub listener: OwnedFd,
     pub intake: Rc<Intake>,
@@ -205,69 +213,69 @@
     pub view: Rc<RefCell<View>>,
     pub engine: Rc<RefCell<Engine<Journal, ()>>>,
     pub clock: Clock,
-    /// Where discovery's agent is.
-    pub place: watch::Receiver<SocketAddr>,
+    /// Address of discovery's agent.
+    pub agent_address: watch::Receiver<SocketAddr>,
     pub handle: Handle,
-    pub operator: Rc<Operator>,
+    pub process_control: Rc<ProcessControl>,
 }
 
-impl Stand {
-    /// Waits for a process that takes over, and serves it until there is nothing left to pass on. Gives up only if
-    /// the socket can't be opened.
-    pub async fn wait(self) {
-        let door = match TakeoverListener::open(&self.folder) {
-            Ok(door) => door,
-            Err(e) => {
-                return log(&format!("takeover: {e}; a new process will have to wait for this one's end"))
-            }
+impl TakeoverServer {
+    /// Waits for a process that takes over, and returns once everything is handed over to it. Returns early
+    /// only if the socket can't be opened.
+    pub async fn run(self) {
+        let listener = match TakeoverListener::open(&self.folder) {
+            Ok(listener) => listener,
+            Err(e) => return log(&format!("takeover: {e}; a new process has to wait until this one exits")),
         };
         loop {
-            match door.accept().await {
+            match listener.accept().await {
                 Ok(channel) => {
-                    if let Err(e) = self.meet(channel).await {
+                    if let Err(e) = self.serve_new_process(channel).await {
                         log(&format!("takeover: {e}"));
                     }
-                    if self.operator.has_passed() {
+                    if self.process_control.is_handed_over() {
                         return;
                     }
                 }
                 Err(e) => {
                     log(&format!("takeover: {e}"));
-                    sleep(LOOK).await;
+                    sleep(POLL_INTERVAL).await;
                 }
             }
         }
     }
 
-    async fn meet(&self, channel: Channel) -> io::Result<()> {
+    /// Runs one takeover over a channel. Returns an error if it fails and this process continues.
+    async fn serve_new_process(&self, channel: Channel) -> io::Result<()> {
         let mut old = OldProcess::default();
-        let mut next = hear(&channel).await;
-        let speaks = if let OldEvent::Received(ToOld::Ask { version }) = next { version } else { 0 };
+        let mut next = receive_in_time(&channel).await;
+        let version = if let OldEvent::Received(ToOld::Ask { version }) = next { version } else { 0 };
         loop {
             next = match old.on(next) {
-                OldStep::Wait => hear(&channel).await,
+                OldStep::Wait => receive_in_time(&channel).await,
                 OldStep::Release => {
                     self.intake.paused.send_replace(true);
-                    let out = self.handle.release().await.unwrap_or_default();
+                    let in_flight = self.handle.release().await.unwrap_or_default();
                     let released = self.engine.borrow_mut().store_mut().release();
                     match released {
                         Ok(()) => {
-                            self.tell_out(&channel, &out).await;
+                            self.send_attempts_in_flight(&channel, &in_flight).await;
                             OldEvent::Released
                         }
                         Err(_) => OldEvent::Lost,
                     }
                 }
-                OldStep::SendState => match self.tell(&channel, speaks).await {
-                    Ok(()) => hear(&channel).await,
+                OldStep::SendState => match self.send_state(&channel, version).await {
+                    Ok(()) => receive_in_time(&channel).await,
                     Err(_) => OldEvent::Lost,
                 },
                 OldStep::HandOver => {
-                    self.operator.passed();
-                    // Even if it does not hear this, it has the folder: nothing may be written here any more.
+                    self.process_control.set_handed_over();
+                    // The new process has the folder even if this frame does not arrive: this one may not
+                    // write any more.
                     let _gone = channel.send(&ToNew::Go, None).await;
                     log("another process goes on");
-                    return self.pass(&channel, &mut old, speaks).await;
+                    return self.hand_over(&channel, &mut old, version).await;
                 }
                 OldStep::Reject(why) => return channel.send(&ToNew::Rejected(why.into()), None).await,
                 OldStep::Retake => {
@@ -280,19 +288,19 @@
         }
     }
 
-    async fn tell_out(&self, channel: &Channel, out: &[(u64, u32)]) {
-        for rows in out.chunks(MAX_ROWS) {
+    async fn send_attempts_in_flight(&self, channel: &Channel, in_flight: &[(u64, u32)]) {
+        for rows in in_flight.chunks(MAX_ROWS) {
             let _gone = channel.send(&ToNew::AttemptsInFlight(rows.to_vec()), None).await;
         }
     }
 
-    /// All that the new process needs, in the frames of the version that it speaks.
-    async fn tell(&self, channel: &Channel, speaks: u16) -> io::Result<()> {
-        self.tell_waits(channel).await?;
-        if speaks > FIRST_VERSION {
-            let agent = self.place.borrow().to_string();
-            // A longer one is asked for anew: it would hold this process up.
-            let list = self.view.borrow().list(MOST_PASSED).unwrap_or_default();
+    /// Sends the state that the new process needs, in the frames of its version of the protocol.
+    async fn send_state(&self, channel: &Channel, version: u16) -> io::Result<()> {
+        self.send_retry_afters(channel).await?;
+        if version > FIRST_VERSION {
+            let agent = self.agent_address.borrow().to_string();
+            // The new process fetches a longer list itself: sending it would block this process for too long.
+            let list = self.view.borrow().list(MAX_LIST_HOSTS).unwrap_or_default();
             for rows in list.endpoints.chunks(MAX_LIST_ROWS) {
                 let part = List { endpoints: rows.to_vec(), ..list };
                 let part = serde_json::to_string(&part).map_err(io::Error::other)?;
@@ -300,7 +308,7 @@
             }
         }
         let learnt = self.engine.borrow().learnt(self.clock.now());
-        for part in learnt.parts(MAX_LEARNT_ROWS).iter().filter(|_| speaks > FIRST_VERSION) {
+        for part in learnt.parts(MAX_LEARNT_ROWS).iter().filter(|_| version > FIRST_VERSION) {
             let text = serde_json::to_string(part).map_err(io::Error::other)?;
             channel.send(&ToNew::Learnt(text), None).await?;
         }
@@ -308,17 +316,18 @@
         channel.send(&ToNew::Ready { drained }, Some(self.listener.as_fd())).await
     }
 
-    async fn tell_waits(&self, channel: &Channel) -> io::Result<()> {
-        let waits = self.carrier.retry_afters().into_iter();
-        let rows: Vec<_> =
-            waits.map(|(dest, host, left)| (dest, host, left.as_secs_f64() * 1000.0)).collect();
+    async fn send_retry_afters(&self, channel: &Channel) -> io::Result<()> {
+        let retry_afters = self.carrier.retry_afters().into_iter();
+        let rows: Vec<_> = retry_afters
+            .map(|(dest, host, remaining)| (dest, host, remaining.as_secs_f64() * 1000.0))
+            .collect();
         for rows in rows.chunks(MAX_ROWS) {
             channel.send(&ToNew::RetryAfters(rows.to_vec()), None).await?;
         }
         Ok(())
     }
 
-    /// The new process may hold the folder for as long as it reads it.
+    /// Takes the folder back and continues to serve. Retries while the new process still owns the folder.
     async fn retake(&self) {
         loop {
             let retaken = self.engine.borrow_mut().store_mut().retake();
@@ -327,52 +336,53 @@
                 Err(e) if e.kind() != ErrorKind::WouldBlock => log(&format!("journal: {e}")),
                 Err(_) => {}
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         self.handle.retake();
         self.intake.paused.send_replace(false);
     }
 
-    /// Passes on connections as nothing is due on them, and the ends of attempts that are out.
-    async fn pass(&self, channel: &Channel, old: &mut OldProcess, speaks: u16) -> io::Result<()> {
-        let (tell_ended, mut ended) = unbounded_channel();
-        let (tell_passed, mut passed) = unbounded_channel();
-        self.handle.pass(tell_ended);
-        self.clients.pass(tell_passed);
-        let mut calls = true;
-        while calls || self.clients.count() > 0 || !passed.is_empty() {
-            // Those whose call has just ended here too: the next call on them needs no handshake.
+    /// Hands over connections, each once no answer is pending on it, and the ends of attempts in flight.
+    async fn hand_over(&self, channel: &Channel, old: &mut OldProcess, version: u16) -> io::Result<()> {
+        let (ended_sender, mut ended_receiver) = unbounded_channel();
+        let (connection_sender, mut connections) = unbounded_channel();
+        self.handle.pass(ended_sender);
+        self.clients.pass(connection_sender);
+        let mut attempts_remain = true;
+        while attempts_remain || self.clients.count() > 0 || !connections.is_empty() {
+            // Includes connections whose call has just ended, so that the new process needs no handshake for
+            // its next call.
             while let Some((endpoint, idle, socket)) = self.carrier.pass_idle() {
-                if speaks > FIRST_VERSION {
+                if version > FIRST_VERSION {
                     let idle_ms = idle.as_secs_f64() * 1000.0;
                     channel.send(&ToNew::Host { endpoint, idle_ms }, Some(socket.as_fd())).await?;
                 }
             }
             tokio::select! {
                 biased;
-                Some(HandedOverConnection { stream, unread }) = passed.recv() => {
+                Some(HandedOverConnection { stream, unread }) = connections.recv() => {
                     channel.send(&ToNew::Client { unread }, Some(stream.as_fd())).await?;
                 }
-                end = ended.recv(), if calls => match end {
-                    Some(end) => self.tell_ended(channel, end).await?,
-                    None => calls = false,
+                end = ended_receiver.recv(), if attempts_remain => match end {
+                    Some(end) => self.send_ended(channel, end).await?,
+                    None => attempts_remain = false,
                 },
-                heard = receive(channel) => match old.on(heard) {
+                event = receive(channel) => match old.on(event) {
                     OldStep::CancelAttempt(id, attempt) => drop(self.handle.cancel(id, attempt)),
                     OldStep::Exit => return Ok(()),
                     _ => {}
                 },
-                () = sleep(LOOK) => {}
+                () = sleep(POLL_INTERVAL) => {}
             }
         }
         Ok(())
     }
 
-    async fn tell_ended(&self, channel: &Channel, end: ForwardedEnd<()>) -> io::Result<()> {
+    async fn send_ended(&self, channel: &Channel, end: ForwardedEnd<()>) -> io::Result<()> {
         let ForwardedEnd { id, attempt, took_ms, end } = end;
         let EngineAttemptEnd { outcome, settled, wait_ms, report, response } = end;
         if wait_ms > 0.0 {
-            self.tell_waits(channel).await?;
+            self.send_retry_afters(channel).await?;
         }
         let answered = response.is_some();
         let ended = AttemptEnd { id, attempt, took_ms, outcome, settled, answered, wait_ms, report };
@@ -380,11 +390,13 @@
     }
 }
 
-/// Once everything is passed on, those who ask the second address get their answer for a while.
-pub async fn linger() {
-    sleep(LINGER).await;
+/// Keeps the process running for a while after everything is handed over, so that callers of the second
+/// address are answered.
+pub async fn serve_last_callers() {
+    sleep(LAST_CALLERS_TIME).await;
 }
 
+/// Receives the next frame as an event.
 async fn receive(channel: &Channel) -> OldEvent {
     match channel.receive::<ToOld>().await {
         Ok(Some((frame, _))) => OldEvent::Received(frame),
@@ -392,6 +404,7 @@
     }
 }
 
-async fn hear(channel: &Channel) -> OldEvent {
-    timeout(NEXT, receive(channel)).await.unwrap_or(OldEvent::Lost)
+/// Receives the next frame as an event; [`OldEvent::Lost`] if it does not arrive in time.
+async fn receive_in_time(channel: &Channel) -> OldEvent {
+    timeout(FRAME_TIMEOUT, receive(channel)).await.unwrap_or(OldEvent::Lost)
 }
--- a/crates/takeover/src/channel.rs
+++ b/crates/takeover/src/channel.rs
@@ -91,11 +91,11 @@
     /// Sends a frame, with a descriptor if there is one.
     ///
     /// # Errors
-    /// Returns errors of the socket, for instance if the other process has exited, and an error if the frame is too long.
+    /// Returns errors of the socket, for instance if the other process has exited, and an error for a frame that is too long.
     pub async fn send(&self, frame: &impl Serialize, descriptor: Option<BorrowedFd<'_>>) -> io::Result<()> {
         let bytes = postcard::to_stdvec(frame).map_err(io::Error::other)?;
         if bytes.len() > MAX_FRAME_BYTES {
-            return Err(io::Error::other("takeover frame exceeds 160 KiB"));
+            return Err(io::Error::other("frame exceeds the maximum length of 160 KiB"));
         }
         let send = || {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
