--- a/crates/account/src/account.rs
+++ b/crates/account/src/account.rs
@@ -88,7 +88,7 @@
     }
 
     /// Records one round of the module, to be called after it, with its events and actions.
-    pub fn round(&mut self, now: f64, events: &[Event], actions: &[Action], relay: &Relay) {
+    pub fn record_round(&mut self, now: f64, events: &[Event], actions: &[Action], relay: &Relay) {
         self.record_elapsed(now, relay);
         events.iter().for_each(|e| self.record_event(now, e, relay));
         actions.iter().for_each(|a| self.record_action(now, a, relay));
@@ -96,7 +96,7 @@
 
     /// Returns what has been recorded since the last call. With `process_ends` the process ends now, and the
     /// calls in flight are passed on to another one.
-    pub fn take(&mut self, now: f64, process_ends: bool) -> UsageReport {
+    pub fn take_report(&mut self, now: f64, process_ends: bool) -> UsageReport {
         if process_ends {
             for (_, call) in std::mem::take(&mut self.calls) {
                 let row = self
@@ -205,10 +205,10 @@
             Event::Request { id, class, due, destination, .. } => {
                 self.accept(now, *id, *class, *due, *destination, 0);
             }
-            Event::Restored { id, class, due, destination, attempts, .. } => {
+            Event::RequestRestored { id, class, due, destination, attempts, .. } => {
                 self.accept(now, *id, *class, *due, *destination, *attempts);
             }
-            Event::Resumed { id, endpoint, .. } => self.begin_attempt(now, *id, endpoint, relay),
+            Event::AttemptResumed { id, endpoint, .. } => self.begin_attempt(now, *id, endpoint, relay),
             Event::Ended { id, attempt, outcome, settled, .. } => {
                 let call = self.calls.remove(&(*id, *attempt));
                 let message = self.open.get(id);
--- a/crates/account/tests/account.rs
+++ b/crates/account/tests/account.rs
@@ -57,7 +57,7 @@
     fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.relay.handle(self.now, std::slice::from_ref(&event), &mut actions);
-        self.account.round(self.now, &[event], &actions, &self.relay);
+        self.account.record_round(self.now, &[event], &actions, &self.relay);
         actions
     }
 
@@ -78,10 +78,10 @@
     }
 
     /// Ends an attempt.
-    fn end_attempt(&mut self, id: u64, attempt: u32, outcome: Outcome, wait_ms: f64) {
+    fn end_attempt(&mut self, id: u64, attempt: u32, outcome: Outcome, retry_after_ms: f64) {
         let settled = outcome == Outcome::Delivered;
         let (took_ms, report) = (0.0, Vec::new());
-        self.handle(Event::Ended { id, attempt, outcome, took_ms, settled, wait_ms, report });
+        self.handle(Event::Ended { id, attempt, outcome, took_ms, settled, retry_after_ms, report });
     }
 }
 
@@ -98,7 +98,7 @@
     harness.advance(50.0);
     harness.end_attempt(third, 0, Outcome::Error, 0.0);
     harness.advance(30.0);
-    let usage_report = harness.account.take(harness.now, false);
+    let usage_report = harness.account.take_report(harness.now, false);
     let outcomes = usage_report.calls_by_outcome();
     assert_eq!((outcomes[&CallOutcome::InTime].count, outcomes[&CallOutcome::InTime].ms), (1, 100.0));
     assert_eq!(
@@ -111,7 +111,7 @@
     assert_eq!(usage_report.slot_ms, 1360.0, "slot time is not twice the elapsed time with two slots");
     assert_eq!(usage_report.messages_by_outcome()[&MessageOutcome::InTime], 1);
     assert_eq!(
-        harness.account.take(harness.now, false),
+        harness.account.take_report(harness.now, false),
         UsageReport::default(),
         "a second report contains what the first one did"
     );
@@ -127,10 +127,10 @@
     let id = harness.submit(0);
     // The part of this relay is half a call a second, of a limit of 50 for 100 relays.
     let (outcome, took_ms, report) = (Outcome::Full, 0.0, vec![0.0, 50.0]);
-    let (attempt, settled, wait_ms) = (0, false, 0.0);
-    harness.handle(Event::Ended { id, attempt, outcome, took_ms, settled, wait_ms, report });
+    let (attempt, settled, retry_after_ms) = (0, false, 0.0);
+    harness.handle(Event::Ended { id, attempt, outcome, took_ms, settled, retry_after_ms, report });
     harness.advance(3500.0);
-    let usage_report = harness.account.take(harness.now, false);
+    let usage_report = harness.account.take_report(harness.now, false);
     let waited_ms = |reason: WaitReason| usage_report.held.get(&(0, reason)).copied().unwrap_or(0.0);
     assert!(
         (90.0..=510.0).contains(&waited_ms(WaitReason::Quiet)),
@@ -169,7 +169,7 @@
     harness.end_attempt(first, 0, Outcome::Delivered, 0.0);
     harness.end_attempt(second, 0, Outcome::Full, 1000.0);
     harness.advance(300.0);
-    let usage_report = harness.account.take(harness.now, false);
+    let usage_report = harness.account.take_report(harness.now, false);
     let waited_ms =
         |destination, reason| usage_report.held.get(&(destination, reason)).copied().unwrap_or(0.0);
     assert!(
@@ -186,7 +186,7 @@
     // Given up at its deadline: it waited for a second for the Retry-After, then for the rate limit or a
     // half-open trial.
     harness.advance(4000.0);
-    let usage_report = harness.account.take(harness.now, false);
+    let usage_report = harness.account.take_report(harness.now, false);
     let lost: u64 = usage_report.lost_by_wait_reason().values().sum();
     assert_eq!(lost, usage_report.messages_by_outcome().get(&MessageOutcome::TimeUp).copied().unwrap_or(0));
 }
@@ -201,7 +201,7 @@
         harness.advance(20.0);
     }
     harness.advance(6000.0);
-    let usage_report = harness.account.take(harness.now, true);
+    let usage_report = harness.account.take_report(harness.now, true);
     let message_outcomes = usage_report.messages_by_outcome();
     let passed_on = usage_report.calls_by_outcome().get(&CallOutcome::PassedOn).map_or(0, |s| s.count);
     assert_eq!(
@@ -220,7 +220,7 @@
 #[test]
 fn a_call_of_an_earlier_process_counts_from_the_takeover_on() {
     let mut harness = Harness::new(settings());
-    let restored = Event::Restored {
+    let restored = Event::RequestRestored {
         id: 9,
         class: 0,
         tenant: 0,
@@ -232,13 +232,13 @@
         may_be_running: false,
         untried: false,
     };
-    let resumed = Event::Resumed { id: 9, endpoint: "h0".into(), sent: harness.now - 300.0 };
+    let resumed = Event::AttemptResumed { id: 9, endpoint: "h0".into(), sent: harness.now - 300.0 };
     let (mut actions, events) = (Vec::new(), [restored, resumed]);
     harness.relay.handle(harness.now, &events, &mut actions);
-    harness.account.round(harness.now, &events, &actions, &harness.relay);
+    harness.account.record_round(harness.now, &events, &actions, &harness.relay);
     harness.advance(100.0);
     harness.end_attempt(9, 2, Outcome::Delivered, 0.0);
-    let usage_report = harness.account.take(harness.now, false);
+    let usage_report = harness.account.take_report(harness.now, false);
     let used: Vec<_> = usage_report.calls.values().collect();
     assert_eq!(
         (used.len(), used[0].count, used[0].ms),
@@ -257,7 +257,7 @@
         let id = harness.submit(n % 2);
         harness.advance(40.0);
         harness.end_attempt(id, 0, Outcome::Delivered, 0.0);
-        let usage_report = harness.account.take(harness.now, false);
+        let usage_report = harness.account.take_report(harness.now, false);
         let json = serde_json::to_string(&usage_report).expect("the report was not serialized");
         assert_eq!(
             serde_json::from_str::<UsageReport>(&json).expect("the serialized report was not read"),
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -4,7 +4,7 @@
     Action, Class, DedupScope, Endpoint, EndpointStatus, Event, ListUpdate, Outcome, Settings, ValueDecay,
     WeightMeaning,
 };
-use mulleinslip_settings::words::{DEDUP_SCOPES, DISCOVERY, EFFECTS, VALUE_DECAYS, WEIGHTS};
+use mulleinslip_settings::keywords::{DEDUP_SCOPES, DISCOVERY, EFFECTS, VALUE_DECAYS, WEIGHTS};
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
@@ -171,8 +171,8 @@
             let outcome = outcome(&mut fields)?;
             let took_ms = fields.optional("LagMs")?.unwrap_or(0.0);
             let settled = fields.flag("Settled")?;
-            let wait_ms = fields.optional("RemarkMs")?.unwrap_or(0.0);
-            Event::Ended { id, attempt, outcome, took_ms, settled, wait_ms, report: fields.report()? }
+            let retry_after_ms = fields.optional("RemarkMs")?.unwrap_or(0.0);
+            Event::Ended { id, attempt, outcome, took_ms, settled, retry_after_ms, report: fields.report()? }
         }
         "LEFT" => Event::Withdrawn { id: fields.number("RequestId")? },
         "TIMEOUT_FIRED" => Event::Timer { token: fields.number("KeyBack")? },
@@ -214,8 +214,8 @@
             let data = if data.is_empty() { "-".to_string() } else { STANDARD.encode(data) };
             format!("PUBLISH {to} {data}")
         }
-        Action::Watch(on) => format!("LISTEN {}", u8::from(*on)),
-        Action::Fetch => "GET_LIST".to_string(),
+        Action::WatchList(on) => format!("LISTEN {}", u8::from(*on)),
+        Action::FetchList => "GET_LIST".to_string(),
         Action::Log(text) => format!("REMARK {}", text.replace('\n', " ")),
     }
 }
@@ -297,7 +297,7 @@
         tenant_rates,
         over_share_value: values.optional("OverShareWorth")?.unwrap_or(1.0),
         value_decay: values.keyword("Domain.Fades", &VALUE_DECAYS)?.unwrap_or(ValueDecay::Linear),
-        batch: values.list("Domain.BatchByKind")?,
+        batch_by_kind: values.list("Domain.BatchByKind")?,
         own_limits: values.list("Domain.OwnLimits")?,
         route_fee: values.list("Domain.RouteFee")?,
         cross_zone_cost: values.or_default("Costs.CrossZone")?,
--- a/crates/daemon/src/account.rs
+++ b/crates/daemon/src/account.rs
@@ -38,7 +38,7 @@
     pub fn finish(&self) {
         let mut state = self.0.borrow_mut();
         let now = state.now;
-        log_report(&state.account.take(now, true));
+        log_report(&state.account.take_report(now, true));
     }
 }
 
@@ -46,10 +46,10 @@
     fn round(&mut self, now: f64, events: &[Event], actions: &[Action], relay: &Relay) {
         let mut state = self.0.borrow_mut();
         state.now = now;
-        state.account.round(now, events, actions, relay);
+        state.account.record_round(now, events, actions, relay);
         if now - state.logged_at >= LOG_INTERVAL_MS {
             state.logged_at = now;
-            log_report(&state.account.take(now, false));
+            log_report(&state.account.take_report(now, false));
         }
     }
 }
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -39,7 +39,7 @@
     /// Maximum number of destinations that the decision module and the carrier know at once.
     pub max_active_destinations: usize,
     /// Cost of a call for the list.
-    pub list_calls: PollCost,
+    pub poll_cost: PollCost,
     pub settings: Settings,
     pub names: Names,
     pub list_names: ListNames,
@@ -118,7 +118,7 @@
             file.limits.disk_mb
         ));
     }
-    let parsed = file.settings.read()?;
+    let parsed = file.settings.parse()?;
     Ok((file, parsed))
 }
 
@@ -168,7 +168,7 @@
             / ACTIVE_MEMORY_DIVISOR
             / ACTIVE_DESTINATION_BYTES)
             .max(MIN_ACTIVE_DESTINATIONS),
-        list_calls: PollCost::of(parsed.settings.relays, parsed.discovery_is_polled),
+        poll_cost: PollCost::of(parsed.settings.relays, parsed.discovery_is_polled),
         settings: parsed.settings,
         names: Names { classes: parsed.classes, tenants: parsed.tenants },
         list_names: ListNames { zones: parsed.zones, kinds: parsed.kinds },
--- a/crates/daemon/src/membership_updates.rs
+++ b/crates/daemon/src/membership_updates.rs
@@ -48,7 +48,7 @@
         if update.tombstones_changed {
             self.record_tombstones(view.members());
         }
-        self.handle.list(update.list)
+        self.handle.apply_list_update(update.list)
     }
 
     fn record_tombstones(&self, members: &Members) {
--- a/crates/daemon/src/process_control.rs
+++ b/crates/daemon/src/process_control.rs
@@ -64,14 +64,14 @@
             return Metrics { classes, ..Metrics::default() };
         };
         let engine = parts.engine.borrow();
-        let (known_hosts, skipped_hosts) = engine.hosts(parts.clock.now());
+        let (known_hosts, skipped_hosts) = engine.host_counts(parts.clock.now());
         let counts = engine.tally().classes().iter();
         let counts =
             counts.map(|c| OutcomeCounts { passed: c.delivered, dropped: c.refused, failed: c.failed });
         Metrics {
             classes: names.zip(counts).collect(),
             upstream_tries: parts.carrier.attempts_written(),
-            in_progress: if self.handed_over.get() { 0 } else { engine.held().0 },
+            in_progress: if self.handed_over.get() { 0 } else { engine.queued_and_unconfirmed().0 },
             known_hosts,
             skipped_hosts,
         }
--- a/crates/daemon/src/serve.rs
+++ b/crates/daemon/src/serve.rs
@@ -29,7 +29,7 @@
 const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(450);
 /// Times of the shutdown. SIGKILL may come 3.7 s after SIGTERM; new connections may arrive for 0.4 s.
 const SHUTDOWN_TIMES: ShutdownTimes =
-    ShutdownTimes { calls_end_ms: 3500.0, linger_ms: 600.0, exit_ms: 3600.0 };
+    ShutdownTimes { calls_end_ms: 3500.0, grace_ms: 600.0, exit_ms: 3600.0 };
 /// Time that the process waits at its end for requests that clients have begun, so that they are answered.
 /// Longer than a request may take to arrive completely; the end of [`SHUTDOWN_TIMES`] limits it.
 const FINISH_TIMEOUT: Duration = Duration::from_millis(850);
@@ -101,12 +101,13 @@
     // The relay must not send to a host whose departure the agent already knows, so it asks for the list
     // first. It does so before it opens the folder, because a process that is taken over from pauses until
     // the takeover is complete.
-    let mut agent = Discovery::new(config.discovery, config.list_calls).reads(config.max_list_bytes);
-    let start_version = agent.start_after(config.known.index);
-    let start_delay = agent.spread();
+    let mut agent =
+        Discovery::new(config.discovery, config.poll_cost).with_max_list_bytes(config.max_list_bytes);
+    let start_version = agent.start_version(config.known.index);
+    let start_delay = agent.start_delay();
     let mut first_request = Box::pin(async move {
         tokio::time::sleep(start_delay).await;
-        let first = agent.ask(start_version).await;
+        let first = agent.fetch(start_version).await;
         (agent, first)
     });
     // A late call continues in the background: repeating it would cost discovery twice.
@@ -126,13 +127,13 @@
     let (journal, mut recovered, taken_over) =
         opened.map_err(|e| format!("journal in {}: {e}", config.state.display()))?;
     for recovered_message in &recovered.messages {
-        audit::note(&recovered_message.message.call_id, || Step::Restored {
+        audit::log_step(&recovered_message.message.call_id, || Step::Restored {
             due: recovered_message.message.due,
             attempts: recovered_message.attempts.len(),
             given_up: recovered_message.given_up.is_some(),
         });
     }
-    recovered.notes.iter().for_each(|note| log(note));
+    recovered.damage_notes.iter().for_each(|note| log(note));
     let mut engine = Engine::new(config.settings.clone(), config.seed, config.names.clone(), journal);
     let usage_logger = account.then(|| UsageLogger::new(&config.settings, clock.now()));
     usage_logger.iter().for_each(|logger| engine.observe(Box::new(logger.clone())));
@@ -151,7 +152,7 @@
         learnt,
     };
     let (cancel_sender, cancellations) = mpsc::unbounded_channel();
-    runtime.cancel_elsewhere(move |id, attempt| {
+    runtime.cancel_in_predecessor(move |id, attempt| {
         let _closed = cancel_sender.send((id, attempt));
     });
     let (agent_lists, index) = takeover::decode_lists(&handover, first.ok(), config.discovery);
@@ -167,8 +168,8 @@
     let (agent_sender, agent_address) = watch::channel(config.discovery);
     spawn_local(run_notices(agent_address.clone(), notice_receiver, handle.clone()));
     let (mut watched_address, mut index) = (agent_address.clone(), index.or(start_version));
-    let (first_agent, list_calls, max_list_bytes) =
-        (config.discovery, config.list_calls, config.max_list_bytes);
+    let (first_agent, poll_cost, max_list_bytes) =
+        (config.discovery, config.poll_cost, config.max_list_bytes);
     spawn_local(async move {
         let agent = match agent {
             Some(agent) => agent,
@@ -176,7 +177,7 @@
                 biased;
                 // The address of discovery has changed: the call in flight went to the previous agent.
                 Ok(()) = watched_address.changed() => {
-                    Discovery::new(first_agent, list_calls).reads(max_list_bytes)
+                    Discovery::new(first_agent, poll_cost).with_max_list_bytes(max_list_bytes)
                 }
                 (agent, first) = first_request => {
                     if let Ok(list) = first {
@@ -204,7 +205,7 @@
         }
     });
     let sweeper = carrier.clone();
-    spawn_local(async move { sweeper.sweep().await });
+    spawn_local(async move { sweeper.close_expired().await });
     let inherited = taken_over.as_ref().and_then(|t| t.listener.as_ref()).map(|l| l.try_clone());
     let listener = listen(config.listen, inherited.transpose().unwrap_or_default()).await;
     let listener = listener.map_err(|e| format!("listen on {}: {e}", config.listen))?;
@@ -215,13 +216,13 @@
         engine: handle.clone(),
         clock,
         stopping: Cell::new(false),
-        away: Cell::default(),
+        drain_mode: Cell::default(),
         paused: watch::Sender::new(false),
     });
     let listener_copy =
         listener.as_fd().try_clone_to_owned().map_err(|e| format!("cannot duplicate the listener: {e}"))?;
     let clients = Clients::new(intake.clone(), max_connections);
-    spawn_local(clients.clone().sweep());
+    spawn_local(clients.clone().enforce_time_limits());
     spawn_local(clients.clone().serve(listener));
     if let Some(TakenOver { channel, .. }) = taken_over {
         log("goes on for another process");
@@ -273,7 +274,7 @@
         clients.close_idle();
         // SIGKILL may follow soon: by then no client with an unanswered request may be connected.
         tokio::time::sleep(FORCED_CLOSE_DELAY.saturating_sub(IDLE_CLOSE_DELAY)).await;
-        clients.finish(Duration::ZERO).await;
+        clients.shut_down(Duration::ZERO).await;
     });
     eprintln!("mulleinslip: {} serves on {listen_address}", config.name);
     runtime.run().await;
@@ -283,9 +284,11 @@
         // process stops.
         let exit = Duration::from_secs_f64(SHUTDOWN_TIMES.exit_ms / 1000.0);
         let remaining = exit.saturating_sub(stop_time.get().elapsed()).min(FINISH_TIMEOUT);
-        let _may_time_out =
-            tokio::time::timeout(remaining, closing_clients.finish(remaining.saturating_sub(REFUSE_TIMEOUT)))
-                .await;
+        let _may_time_out = tokio::time::timeout(
+            remaining,
+            closing_clients.shut_down(remaining.saturating_sub(REFUSE_TIMEOUT)),
+        )
+        .await;
     } else {
         let _all_handed_over = handover_task.await;
         tokio::select! {
--- a/crates/daemon/src/takeover.rs
+++ b/crates/daemon/src/takeover.rs
@@ -117,9 +117,10 @@
             received = channel.receive() => received,
         };
         match received {
-            Ok(Some((ToNew::Client { unread }, Some(descriptor)))) => {
+            Ok(Some((ToNew::ClientConnection { unread }, Some(descriptor)))) => {
                 let clients = clients.clone();
-                let connection = HandedOverConnection { stream: TcpStream::from(descriptor), unread };
+                let connection =
+                    HandedOverConnection { stream: TcpStream::from(descriptor), unanswered_input: unread };
                 spawn_local(async move {
                     if let Err(e) = clients.take_over(connection).await {
                         log(&format!("cannot take over a client's connection: {e}"));
@@ -127,7 +128,7 @@
                 });
             }
             Ok(Some((ToNew::RetryAfters(rows), _))) => restore_retry_afters(&carrier, &rows),
-            Ok(Some((ToNew::Host { endpoint, idle_ms }, Some(descriptor)))) => {
+            Ok(Some((ToNew::IdleConnection { endpoint, idle_ms }, Some(descriptor)))) => {
                 let idle = Duration::from_secs_f64(idle_ms.clamp(0.0, 1e9) / 1000.0);
                 if let Err(e) = carrier.take_over_idle(&endpoint, idle, descriptor).await {
                     log(&format!("cannot take over a connection to {endpoint}: {e}"));
@@ -135,10 +136,18 @@
             }
             Ok(Some((ToNew::Ended(ended), _))) => {
                 if in_flight.remove(&(ended.id, ended.attempt)) {
-                    let AttemptEnd { id, attempt, took_ms, outcome, settled, answered, wait_ms, report } =
-                        ended;
+                    let AttemptEnd {
+                        id,
+                        attempt,
+                        took_ms,
+                        outcome,
+                        settled,
+                        answered,
+                        retry_after_ms,
+                        report,
+                    } = ended;
                     let response = answered.then_some(());
-                    let end = EngineAttemptEnd { outcome, settled, wait_ms, report, response };
+                    let end = EngineAttemptEnd { outcome, settled, retry_after_ms, report, response };
                     handle.ended(ForwardedEnd { id, attempt, took_ms, end });
                 }
             }
@@ -307,12 +316,12 @@
                 channel.send(&ToNew::List { agent: agent.clone(), part }, None).await?;
             }
         }
-        let learnt = self.engine.borrow().learnt(self.clock.now());
-        for part in learnt.parts(MAX_LEARNT_ROWS).iter().filter(|_| version > FIRST_VERSION) {
+        let learnt = self.engine.borrow().export_learnt(self.clock.now());
+        for part in learnt.split(MAX_LEARNT_ROWS).iter().filter(|_| version > FIRST_VERSION) {
             let text = serde_json::to_string(part).map_err(io::Error::other)?;
             channel.send(&ToNew::Learnt(text), None).await?;
         }
-        let drained = self.intake.away.get() > mulleinslip_http::DrainMode::No;
+        let drained = self.intake.drain_mode.get() > mulleinslip_http::DrainMode::NotDraining;
         channel.send(&ToNew::Ready { drained }, Some(self.listener.as_fd())).await
     }
 
@@ -330,7 +339,7 @@
     /// Takes the folder back and continues to serve. Retries while the new process still owns the folder.
     async fn retake(&self) {
         loop {
-            let retaken = self.engine.borrow_mut().store_mut().retake();
+            let retaken = self.engine.borrow_mut().store_mut().reacquire();
             match retaken {
                 Ok(()) => break,
                 Err(e) if e.kind() != ErrorKind::WouldBlock => log(&format!("journal: {e}")),
@@ -338,7 +347,7 @@
             }
             sleep(POLL_INTERVAL).await;
         }
-        self.handle.retake();
+        self.handle.resume();
         self.intake.paused.send_replace(false);
     }
 
@@ -346,22 +355,22 @@
     async fn hand_over(&self, channel: &Channel, old: &mut OldProcess, version: u16) -> io::Result<()> {
         let (ended_sender, mut ended_receiver) = unbounded_channel();
         let (connection_sender, mut connections) = unbounded_channel();
-        self.handle.pass(ended_sender);
-        self.clients.pass(connection_sender);
+        self.handle.hand_over(ended_sender);
+        self.clients.hand_over(connection_sender);
         let mut attempts_remain = true;
         while attempts_remain || self.clients.count() > 0 || !connections.is_empty() {
             // Includes connections whose call has just ended, so that the new process needs no handshake for
             // its next call.
-            while let Some((endpoint, idle, socket)) = self.carrier.pass_idle() {
+            while let Some((endpoint, idle, socket)) = self.carrier.hand_over_idle() {
                 if version > FIRST_VERSION {
                     let idle_ms = idle.as_secs_f64() * 1000.0;
-                    channel.send(&ToNew::Host { endpoint, idle_ms }, Some(socket.as_fd())).await?;
+                    channel.send(&ToNew::IdleConnection { endpoint, idle_ms }, Some(socket.as_fd())).await?;
                 }
             }
             tokio::select! {
                 biased;
-                Some(HandedOverConnection { stream, unread }) = connections.recv() => {
-                    channel.send(&ToNew::Client { unread }, Some(stream.as_fd())).await?;
+                Some(HandedOverConnection { stream, unanswered_input: unread }) = connections.recv() => {
+                    channel.send(&ToNew::ClientConnection { unread }, Some(stream.as_fd())).await?;
                 }
                 end = ended_receiver.recv(), if attempts_remain => match end {
                     Some(end) => self.send_ended(channel, end).await?,
@@ -380,12 +389,12 @@
 
     async fn send_ended(&self, channel: &Channel, end: ForwardedEnd<()>) -> io::Result<()> {
         let ForwardedEnd { id, attempt, took_ms, end } = end;
-        let EngineAttemptEnd { outcome, settled, wait_ms, report, response } = end;
-        if wait_ms > 0.0 {
+        let EngineAttemptEnd { outcome, settled, retry_after_ms, report, response } = end;
+        if retry_after_ms > 0.0 {
             self.send_retry_afters(channel).await?;
         }
         let answered = response.is_some();
-        let ended = AttemptEnd { id, attempt, took_ms, outcome, settled, answered, wait_ms, report };
+        let ended = AttemptEnd { id, attempt, took_ms, outcome, settled, answered, retry_after_ms, report };
         channel.send(&ToNew::Ended(ended), None).await
     }
 }
--- a/crates/daemon/tests/alike.rs
+++ b/crates/daemon/tests/alike.rs
@@ -300,7 +300,7 @@
         settings: FileSettings,
     }
     let file: File = serde_json::from_value(settings(([127, 0, 0, 1], 9).into())).unwrap();
-    let read = file.settings.read().unwrap();
+    let read = file.settings.parse().unwrap();
     let host = |(name, dest, h): &(&str, u64, Host)| TowerHost::new(*name, *dest, h.address.to_string());
     let mut hosts: Vec<TowerHost> = world.hosts.iter().map(host).collect();
     hosts.push(TowerHost::new("refusing", REFUSING, "127.0.0.1:9"));
@@ -374,7 +374,7 @@
         |name: &str, or: usize| std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(or);
     let (runs, count) = (from_env("ALIKE_RUNS", 1), from_env("ALIKE_MESSAGES", 1200));
     let (first, recorded) = through_daemon(&made(count), true);
-    let messages: Vec<Message> = Reader::begin(&recorded[..]).unwrap().map(Result::unwrap).collect();
+    let messages: Vec<Message> = Reader::new(&recorded[..]).unwrap().map(Result::unwrap).collect();
     assert_eq!(messages.len(), count, "all are recorded");
     let mut counts: BTreeMap<(u64, &str), usize> = BTreeMap::new();
     for m in &messages {
--- a/crates/daemon/tests/takeover.rs
+++ b/crates/daemon/tests/takeover.rs
@@ -365,7 +365,7 @@
         assert!(matches!(go, Some((ToNew::Go, None))), "{go:?}");
         while let Ok(Some((frame, _))) = c.receive::<ToNew>().await {
             assert!(
-                !matches!(frame, ToNew::Host { .. } | ToNew::Learnt(_) | ToNew::List { .. }),
+                !matches!(frame, ToNew::IdleConnection { .. } | ToNew::Learnt(_) | ToNew::List { .. }),
                 "{frame:?}"
             );
         }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -114,7 +114,7 @@
     /// Retry-Afters that it has received: destination, endpoint (empty where the destination's endpoints
     /// share one limit), time at which it ends.
     pub retry_afters: Vec<(u64, String, f64)>,
-    /// The learnt state of its decision module, in parts, see [`Engine::learnt`].
+    /// The learnt state of its decision module, in parts, see [`Engine::export_learnt`].
     pub learnt: Vec<linenhall::Learnt>,
 }
 
@@ -156,8 +156,8 @@
     }
 
     /// Returns the learnt state that a successor process needs in addition to the store.
-    pub fn learnt(&self, now: f64) -> linenhall::Learnt {
-        self.relay.learnt(now)
+    pub fn export_learnt(&self, now: f64) -> linenhall::Learnt {
+        self.relay.export_learnt(now)
     }
 
     /// Undoes [`Engine::release`] when the takeover has failed.
@@ -212,11 +212,11 @@
     /// Removes a destination and its hosts from memory, unless messages, attempts or answers for it are
     /// pending or there is state that later calls depend on. Before the destination is used again, its hosts
     /// must be listed again. Returns whether it was removed, or `None` if it is not known.
-    pub fn forget(&mut self, now: f64, destination: u64) -> Option<bool> {
+    pub fn forget_destination(&mut self, now: f64, destination: u64) -> Option<bool> {
         if self.released || !self.destination_table.may_remove(destination) {
             return Some(false);
         }
-        let hosts = self.relay.forget(now, destination)?;
+        let hosts = self.relay.forget_destination(now, destination)?;
         self.destination_table.remove(destination, hosts.iter().flatten());
         Some(hosts.is_ok())
     }
@@ -232,7 +232,7 @@
     }
 
     /// Returns the number of unfinished messages and the number of unconfirmed final answers.
-    pub fn held(&self) -> (usize, usize) {
+    pub fn queued_and_unconfirmed(&self) -> (usize, usize) {
         (self.open_messages.pending(), self.open_messages.unconfirmed())
     }
 
@@ -242,8 +242,8 @@
     }
 
     /// Returns the number of listed hosts, and how many of them would be sent no message at this time.
-    pub fn hosts(&self, now: f64) -> (usize, usize) {
-        self.relay.hosts(now)
+    pub fn host_counts(&self, now: f64) -> (usize, usize) {
+        self.relay.host_counts(now)
     }
 
     /// Records that the first byte of an attempt is about to be sent. On an error it must not be sent, and
@@ -338,10 +338,10 @@
         &mut self, now: f64, (id, attempt): (u64, u32), took_ms: f64, end: AttemptEnd<R>,
         events: &mut Vec<Event>, outputs: &mut Vec<Output<T, R>>,
     ) {
-        let AttemptEnd { outcome, settled, wait_ms, report, response } = end;
-        let event = Event::Ended { id, attempt, outcome, took_ms, settled, wait_ms, report };
+        let AttemptEnd { outcome, settled, retry_after_ms, report, response } = end;
+        let event = Event::Ended { id, attempt, outcome, took_ms, settled, retry_after_ms, report };
         let Some(message) = self.open_messages.get_mut(id) else { return events.push(event) };
-        let retry_after_until = if wait_ms > 0.0 { now + wait_ms } else { 0.0 };
+        let retry_after_until = if retry_after_ms > 0.0 { now + retry_after_ms } else { 0.0 };
         self.untried.attempt_ended(id, message.destination, outcome, retry_after_until);
         let index = message.in_flight.iter().position(|x| x.attempt == attempt);
         let begun = index.is_some_and(|index| message.in_flight.swap_remove(index).begun);
@@ -515,7 +515,7 @@
             Action::CloseIdle { endpoint } => outputs.push(Output::CloseIdle { endpoint }),
             Action::Log(line) => outputs.push(Output::Log(line)),
             // There are no peers to send to yet, and the list is fetched independently of the engine.
-            Action::SendToPeer { .. } | Action::Watch(_) | Action::Fetch => {}
+            Action::SendToPeer { .. } | Action::WatchList(_) | Action::FetchList => {}
         }
     }
 
@@ -527,8 +527,16 @@
             // The message was not accepted in the end, but the module still waits for the outcome of its
             // first attempt.
             let (outcome, report) = (Outcome::NotSent, Vec::new());
-            let (attempt, took_ms, settled, wait_ms) = (0, 0.0, true, 0.0);
-            self.follow_up.push(Event::Ended { id, attempt, outcome, took_ms, settled, wait_ms, report });
+            let (attempt, took_ms, settled, retry_after_ms) = (0, 0.0, true, 0.0);
+            self.follow_up.push(Event::Ended {
+                id,
+                attempt,
+                outcome,
+                took_ms,
+                settled,
+                retry_after_ms,
+                report,
+            });
             return;
         };
         let attempt = message.attempts;
@@ -565,12 +573,12 @@
         self.open_messages.finish(id);
         self.open_messages.set_unconfirmed(id, true);
         let Some(message) = self.open_messages.get_mut(id) else { return };
-        let (may_have_run, last) =
+        let (may_have_run, last_response) =
             (message.may_have_run || message.in_flight.iter().any(|x| x.begun), message.last_response.take());
         let answer = match given_up {
-            GivenUp::Undeliverable => FinalAnswer::Failed { may_have_run, last },
+            GivenUp::Undeliverable => FinalAnswer::Failed { may_have_run, last_response },
             GivenUp::Deferred { retry_after_ms } => {
-                FinalAnswer::Refused { retry_after_ms, may_have_run, last }
+                FinalAnswer::Refused { retry_after_ms, may_have_run, last_response }
             }
         };
         if counted {
--- a/crates/engine/src/engine/restore.rs
+++ b/crates/engine/src/engine/restore.rs
@@ -24,7 +24,7 @@
         }
         events.push(Event::Outages(recovered.outages.iter().map(outage_from_record).collect()));
         events.push(Event::RetryAfters(previous.retry_afters.clone()));
-        events.extend(previous.learnt.iter().map(|part| Event::Learnt(Box::new(part.clone()))));
+        events.extend(previous.learnt.iter().map(|part| Event::RestoreLearnt(Box::new(part.clone()))));
         let mut resumed = Vec::new();
         for mut message in recovered.messages {
             let id = message.id;
@@ -36,7 +36,7 @@
                 .position(is_in_flight)
                 .map(|index| message.attempts.swap_remove(index));
             let Some(mut event) = self.recover(now, message, !previous.is_running, outputs) else { continue };
-            if let (Some(attempt), Event::Restored { attempts, .. }) = (in_flight, &mut event) {
+            if let (Some(attempt), Event::RequestRestored { attempts, .. }) = (in_flight, &mut event) {
                 // The module gives this number to the message's next attempt, which is the resumed one.
                 *attempts = attempt.number;
                 resumed.push((id, attempt));
@@ -71,7 +71,7 @@
                 events.push(Event::ListUpdate(ListUpdate::Delta(vec![host.clone()])));
                 unlisted.push(Endpoint { status: EndpointStatus::Removed, ..host });
             }
-            events.push(Event::Resumed { id, endpoint: attempt.endpoint, sent: attempt.at });
+            events.push(Event::AttemptResumed { id, endpoint: attempt.endpoint, sent: attempt.at });
         }
         if !unlisted.is_empty() {
             events.push(Event::ListUpdate(ListUpdate::Delta(unlisted)));
@@ -119,7 +119,7 @@
             self.send_given_up(id, given_up.unwrap_or(GivenUp::Undeliverable), false, outputs);
             return message.order_key.map(|key| Event::AnswerPending { id, key });
         };
-        Some(Event::Restored {
+        Some(Event::RequestRestored {
             id,
             class,
             tenant: index_of(&self.names.tenants, &message.tenant).unwrap_or(0),
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -45,14 +45,14 @@
         /// Whether an attempt may have run.
         may_have_run: bool,
         /// The response to the last attempt that got one.
-        last: Option<R>,
+        last_response: Option<R>,
     },
     /// Given up. It may not be safe to submit the message again.
     Failed {
         /// Whether an attempt may have run.
         may_have_run: bool,
         /// The response to the last attempt that got one.
-        last: Option<R>,
+        last_response: Option<R>,
     },
 }
 
@@ -145,7 +145,7 @@
     /// Whether the message has ended with this attempt, so that nothing more has to be done for it.
     pub settled: bool,
     /// The Retry-After that came with [`Outcome::Full`], else 0.
-    pub wait_ms: f64,
+    pub retry_after_ms: f64,
     /// The load report, empty if there is none.
     pub report: Vec<f64>,
     /// The response, if there was one.
@@ -155,7 +155,7 @@
 impl<R> AttemptEnd<R> {
     /// Returns the end of an attempt that got no response.
     pub fn without_response(outcome: Outcome) -> AttemptEnd<R> {
-        AttemptEnd { outcome, settled: false, wait_ms: 0.0, report: Vec::new(), response: None }
+        AttemptEnd { outcome, settled: false, retry_after_ms: 0.0, report: Vec::new(), response: None }
     }
 }
 
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -40,7 +40,7 @@
         classes: CLASSES.iter().map(class).collect(),
         tenant_rates: vec![1e6],
         over_share_value: 1.0,
-        batch: vec![1],
+        batch_by_kind: vec![1],
         own_limits: vec![false],
         may_cancel: true,
         conn_idle_ms: 5000.0,
@@ -461,9 +461,11 @@
                     AttemptEnd { response: Some(number), ..AttemptEnd::without_response(Outcome::Error) };
                 (self.random.bool(), took_ms, end)
             }
-            Behaviour::SendingRetryAfter => {
-                (false, took_ms, AttemptEnd { wait_ms: 400.0, ..AttemptEnd::without_response(Outcome::Full) })
-            }
+            Behaviour::SendingRetryAfter => (
+                false,
+                took_ms,
+                AttemptEnd { retry_after_ms: 400.0, ..AttemptEnd::without_response(Outcome::Full) },
+            ),
             Behaviour::Refusing => unreachable!("refused attempts have returned above"),
         };
         if ran {
@@ -635,9 +637,13 @@
         assert!(
             self.engine.is_idle(),
             "seed {seed}: messages or attempts stay open: {:?}",
-            self.engine.held()
+            self.engine.queued_and_unconfirmed()
+        );
+        assert_eq!(
+            self.engine.queued_and_unconfirmed(),
+            (0, 0),
+            "seed {seed}: the counts of open messages are wrong"
         );
-        assert_eq!(self.engine.held(), (0, 0), "seed {seed}: the counts of open messages are wrong");
         assert!(
             self.store.0.borrow().messages.is_empty(),
             "seed {seed}: the store keeps messages that have ended"
--- a/crates/engine/tests/late.rs
+++ b/crates/engine/tests/late.rs
@@ -92,7 +92,7 @@
         let expected = if late { FinalAnswer::DeliveredLate(200) } else { FinalAnswer::Delivered(200) };
         assert_eq!(answer, expected, "final answer after a response at {at} ms");
         assert_eq!(
-            test.engine.held(),
+            test.engine.queued_and_unconfirmed(),
             (0, usize::from(late)),
             "unconfirmed answers after a response at {at} ms"
         );
--- a/crates/http/src/audit.rs
+++ b/crates/http/src/audit.rs
@@ -108,7 +108,7 @@
 }
 
 /// Logs a step of the message with this id, if the audit log is on.
-pub fn note<'a>(id: &'a str, step: impl FnOnce() -> Step<'a>) {
+pub fn log_step<'a>(id: &'a str, step: impl FnOnce() -> Step<'a>) {
     if !enabled() {
         return;
     }
--- a/crates/http/src/carrier.rs
+++ b/crates/http/src/carrier.rs
@@ -214,7 +214,7 @@
 
     /// Takes an idle connection for another process, the oldest first: its host, its idle time and its
     /// socket.
-    pub fn pass_idle(&self) -> Option<(String, Duration, OwnedFd)> {
+    pub fn hand_over_idle(&self) -> Option<(String, Duration, OwnedFd)> {
         loop {
             let (host, since, conn) = self.state.borrow_mut().idle.take_oldest()?;
             if let (true, Ok(socket)) = (conn.usable(), conn.duplicate_socket()) {
@@ -240,7 +240,7 @@
     }
 
     /// Closes connections that have been idle for too long. Never returns.
-    pub async fn sweep(&self) {
+    pub async fn close_expired(&self) {
         loop {
             tokio::time::sleep(Duration::from_millis(100)).await;
             let now = Instant::now();
@@ -314,7 +314,7 @@
         let begin = |conn: &Conn| {
             let may_begin = gate.begin();
             if may_begin {
-                audit::note(&call.call_id, || Step::Begun {
+                audit::log_step(&call.call_id, || Step::Begun {
                     attempt: call.attempt,
                     endpoint: &call.endpoint,
                     port: conn.local_port(),
@@ -407,26 +407,32 @@
     /// Interprets a response.
     fn interpret(&self, endpoint: &str, response: &HttpResponse) -> AttemptEnd<()> {
         let report = response.headers.get("X-Load-Report").and_then(|v| self.parse_report(v.as_bytes()));
-        let ParsedOutcome { outcome, settled, wait_ms } =
+        let ParsedOutcome { outcome, settled, retry_after_ms } =
             ParsedOutcome::of(response.status, &response.headers);
         // Only a complete response without surplus bytes proves by its status that a call never ran or is
         // finished. Its `Retry-After` counts despite surplus bytes, but not if the response is incomplete.
         let complete = response.body.is_some();
-        let wait_ms = if outcome == Outcome::Full && complete { wait_ms } else { 0.0 };
+        let retry_after_ms = if outcome == Outcome::Full && complete { retry_after_ms } else { 0.0 };
         let (outcome, settled) = match outcome {
             Outcome::Delivered => (outcome, settled),
             _ if complete && !response.surplus => (outcome, settled),
             _ => (Outcome::Error, false),
         };
-        if wait_ms > 0.0 {
-            let until = Instant::now() + Duration::from_secs_f64(wait_ms / 1000.0);
+        if retry_after_ms > 0.0 {
+            let until = Instant::now() + Duration::from_secs_f64(retry_after_ms / 1000.0);
             let mut state = self.state.borrow_mut();
             if let Some(group) = state.hosts.get(endpoint).map(|h| group_key(endpoint, h)) {
                 let retry_at = state.retry_afters.entry(group).or_insert(until);
                 *retry_at = (*retry_at).max(until);
             }
         }
-        AttemptEnd { outcome, settled, wait_ms, report: report.unwrap_or_default(), response: Some(()) }
+        AttemptEnd {
+            outcome,
+            settled,
+            retry_after_ms,
+            report: report.unwrap_or_default(),
+            response: Some(()),
+        }
     }
 
     /// Returns the values of a load report in the order of the settings, or `None` if it can't be parsed.
@@ -474,8 +480,12 @@
                 state.remove(&entry.name);
                 continue;
             }
-            let own_limits =
-                self.settings.own_limits.get(self.settings.names.kind(&entry.kind)).copied().unwrap_or(false);
+            let own_limits = self
+                .settings
+                .own_limits
+                .get(self.settings.names.kind_index(&entry.kind))
+                .copied()
+                .unwrap_or(false);
             let host = Host { entry: entry.clone(), own_limits };
             let is_active = host.is_active();
             let before =
@@ -489,19 +499,19 @@
                 state.idle.drop_host(&entry.name);
             }
         }
-        self.settings.names.discovery(&list)
+        self.settings.names.to_list_update(&list)
     }
 
     fn activate(&self, destination: u64) -> Option<List> {
         self.view.borrow_mut().activate(destination)
     }
 
-    fn forget(&self, may_forget: &mut dyn FnMut(u64) -> Option<bool>) {
+    fn evict_unused(&self, may_forget: &mut dyn FnMut(u64) -> Option<bool>) {
         let mut view = self.view.borrow_mut();
-        if !view.is_crowded() {
+        if !view.is_over_capacity() {
             return;
         }
-        view.shrink(|destination| {
+        view.evict_surplus(|destination| {
             let removable = may_forget(destination);
             if removable == Some(true) {
                 let mut state = self.state.borrow_mut();
@@ -518,7 +528,7 @@
         let progress: RefCell<Option<Rc<Progress>>> = RefCell::default();
         let ended = self.call_host(call, gate, cancellation, &progress).await;
         let progress = progress.borrow();
-        audit::note(&call.call_id, || Step::Ended {
+        audit::log_step(&call.call_id, || Step::Ended {
             attempt: call.attempt,
             outcome: format!("{:?}", ended.outcome),
             settled: ended.settled,
--- a/crates/http/src/carrier/tests.rs
+++ b/crates/http/src/carrier/tests.rs
@@ -37,7 +37,7 @@
     carrier.apply_list(second);
     // The first destination was not used since, and the carrier doesn't know it yet.
     while view.borrow().is_active(1) {
-        view.borrow_mut().shrink(|destination| Some(destination == 1));
+        view.borrow_mut().evict_surplus(|destination| Some(destination == 1));
     }
     carrier.apply_list(queued);
     assert!(
--- a/crates/http/src/client_connection.rs
+++ b/crates/http/src/client_connection.rs
@@ -224,7 +224,7 @@
     pub fn on_flushed(&self) {
         if self.writing_answer.replace(false) {
             if let Some(id) = self.audited_call_id.take() {
-                audit::note(&id, || Step::AnswerWritten { client: self.number });
+                audit::log_step(&id, || Step::AnswerWritten { client: self.number });
             }
         }
     }
@@ -239,7 +239,7 @@
     /// Called when the connection is closed.
     pub fn on_closed(&self) {
         if let Some(id) = self.audited_call_id.take() {
-            audit::note(&id, || Step::ClientGone { client: self.number });
+            audit::log_step(&id, || Step::ClientGone { client: self.number });
         }
     }
 
--- a/crates/http/src/clients.rs
+++ b/crates/http/src/clients.rs
@@ -54,7 +54,7 @@
     /// The connection.
     pub stream: std::net::TcpStream,
     /// The input that was received on it and is not answered.
-    pub unread: Vec<u8>,
+    pub unanswered_input: Vec<u8>,
 }
 
 impl Read for ObservedSocket {
@@ -148,17 +148,17 @@
     /// each answer closes its connection, and later the remaining connections are closed. No message is
     /// rejected because of it.
     pub fn drain(self: &Rc<Self>, on: bool) {
-        let already = self.intake.away.get() > DrainMode::No;
+        let already = self.intake.drain_mode.get() > DrainMode::NotDraining;
         if on == already {
             return;
         }
         self.drain_changes.set(self.drain_changes.get() + 1);
         if !on {
-            self.intake.away.set(DrainMode::No);
+            self.intake.drain_mode.set(DrainMode::NotDraining);
             self.idle_close.send_replace(false);
             return;
         }
-        self.intake.away.set(DrainMode::Unhealthy);
+        self.intake.drain_mode.set(DrainMode::Unhealthy);
         let (clients, drain_change, start) =
             (self.clone(), self.drain_changes.get(), tokio::time::Instant::now());
         tokio::task::spawn_local(async move {
@@ -168,7 +168,7 @@
                     return;
                 }
                 match after {
-                    DRAIN_CLOSING_AFTER => clients.intake.away.set(DrainMode::Closing),
+                    DRAIN_CLOSING_AFTER => clients.intake.drain_mode.set(DrainMode::Closing),
                     DRAIN_IDLE_AFTER => clients.close_idle(),
                     _ => clients.request_close_all(),
                 }
@@ -180,7 +180,7 @@
     /// begun is answered. A request counts as handed in once its last byte is received by the kernel, read or
     /// not. Requests that are incomplete after `within` are refused, and their connections are closed soon
     /// after.
-    pub async fn finish(&self, within: Duration) {
+    pub async fn shut_down(&self, within: Duration) {
         let refuse_at = Instant::now() + within;
         loop {
             if Instant::now() < refuse_at {
@@ -225,7 +225,7 @@
     }
 
     /// Closes connections that exceed a time limit. Never returns.
-    pub async fn sweep(self: Rc<Self>) {
+    pub async fn enforce_time_limits(self: Rc<Self>) {
         loop {
             tokio::time::sleep(SWEEP_INTERVAL).await;
             let now = Instant::now();
@@ -265,7 +265,7 @@
 
     /// Starts the handover to another process: each connection is sent there once no answer is pending on it,
     /// and the listener is no longer used here.
-    pub fn pass(&self, to: UnboundedSender<HandedOverConnection>) {
+    pub fn hand_over(&self, to: UnboundedSender<HandedOverConnection>) {
         self.handover_target.send_replace(Some(to));
     }
 
@@ -301,7 +301,7 @@
     /// Fails if the socket can't be registered with the event loop.
     pub async fn take_over(self: &Rc<Self>, handed_over: HandedOverConnection) -> io::Result<()> {
         handed_over.stream.set_nonblocking(true)?;
-        self.admit(TcpStream::from_std(handed_over.stream)?, handed_over.unread).await;
+        self.admit(TcpStream::from_std(handed_over.stream)?, handed_over.unanswered_input).await;
         Ok(())
     }
 
@@ -383,7 +383,7 @@
             let unread = [&unread[..], earlier.get(read_again..).unwrap_or_default()].concat();
             let stream = Rc::into_inner(socket).map(|socket| socket.into_inner().into_std());
             if let (Some(Ok(stream)), Some(to)) = (stream, &*self.handover_target.borrow()) {
-                let _process_ended = to.send(HandedOverConnection { stream, unread });
+                let _process_ended = to.send(HandedOverConnection { stream, unanswered_input: unread });
             }
             return;
         }
--- a/crates/http/src/discovery.rs
+++ b/crates/http/src/discovery.rs
@@ -83,13 +83,13 @@
     }
 
     /// Sets the maximum size of a list, in bytes.
-    pub fn reads(self, max_bytes: usize) -> Discovery {
+    pub fn with_max_list_bytes(self, max_bytes: usize) -> Discovery {
         Discovery { max_bytes, ..self }
     }
 
     /// Returns the delay of a starting process's first call, random where many relays may start at once, as
     /// in a release.
-    pub fn spread(&self) -> Duration {
+    pub fn start_delay(&self) -> Duration {
         self.poll_cost.start_delay(fastrand::f64())
     }
 
@@ -97,12 +97,12 @@
     /// changes, or `None` for the full list. A full list and then a watch are two calls; where calls are
     /// costly the watch alone has to do, as it returns what was missed. An older answer to that first call is
     /// accepted, as the known list may come from another agent, whose version count differs.
-    pub fn start_after(&self, known: u64) -> Option<u64> {
+    pub fn start_version(&self, known: u64) -> Option<u64> {
         (self.poll_cost == PollCost::Costly).then_some(known)
     }
 
     /// Fetches the full list (`after` is `None`) or waits for changes newer than that version.
-    pub async fn ask(&mut self, after: Option<u64>) -> Result<List, FetchError> {
+    pub async fn fetch(&mut self, after: Option<u64>) -> Result<List, FetchError> {
         let path = match after {
             None => "/catalog/members".to_string(),
             Some(index) => {
@@ -144,13 +144,13 @@
             let address = *agent.borrow_and_update();
             if address != self.address {
                 // The pending watch is dropped with its connection. Version counts of two agents may differ.
-                self = Discovery::new(address, self.poll_cost).reads(self.max_bytes);
+                self = Discovery::new(address, self.poll_cost).with_max_list_bytes(self.max_bytes);
                 (index, failures, older_lists) = (None, 0, 0);
             }
             let fetched = tokio::select! {
                 biased;
                 Ok(()) = agent.changed() => continue,
-                fetched = self.ask(index) => fetched,
+                fetched = self.fetch(index) => fetched,
             };
             let checked = fetched.and_then(|list| match check_not_older(index, &list) {
                 Ok(()) => Ok(list),
--- a/crates/http/src/discovery/tests.rs
+++ b/crates/http/src/discovery/tests.rs
@@ -94,14 +94,17 @@
     });
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
-        let mut discovery = Discovery::new(address, PollCost::Free).reads(4999);
-        let error = discovery.ask(None).await.expect_err("a list over the limit was accepted");
+        let mut discovery = Discovery::new(address, PollCost::Free).with_max_list_bytes(4999);
+        let error = discovery.fetch(None).await.expect_err("a list over the limit was accepted");
         assert_eq!(error, FetchError::TooLarge { size: 5000, max_bytes: 4999 });
         let text = "list of 5000 bytes exceeds the maximum of 4999 bytes (limits.memory_mb)";
         assert_eq!(error.to_string(), text);
         let (_keep_open, agent_address) = watch::channel(address);
-        let watching =
-            Discovery::new(address, PollCost::Free).reads(4999).watch(None, agent_address, |_, _| true);
+        let watching = Discovery::new(address, PollCost::Free).with_max_list_bytes(4999).watch(
+            None,
+            agent_address,
+            |_, _| true,
+        );
         let _still_watching = timeout(Duration::from_millis(1500), watching).await;
     });
     assert_eq!(
--- a/crates/http/src/front.rs
+++ b/crates/http/src/front.rs
@@ -38,7 +38,7 @@
                     FinalAnswer::Refused { .. } => "deferred",
                     FinalAnswer::Failed { .. } => "undeliverable",
                 };
-                audit::note(&call_id, || Step::Final { outcome });
+                audit::log_step(&call_id, || Step::Final { outcome });
                 let deferred = match answer {
                     // The platform learns of these from the partner's 200 or 410 and needs no notice.
                     FinalAnswer::Delivered(()) | FinalAnswer::EndedByPartner(_) => return,
@@ -53,7 +53,7 @@
     }
 
     /// A client that leaves before it has an answer withdraws its message.
-    fn waits(&self, ticket: &Ticket) -> bool {
+    fn is_waiting(&self, ticket: &Ticket) -> bool {
         !ticket.is_closed()
     }
 }
--- a/crates/http/src/intake.rs
+++ b/crates/http/src/intake.rs
@@ -37,7 +37,7 @@
     /// After SIGTERM no new messages are accepted, and connections are not kept open.
     pub stopping: Cell<bool>,
     /// How far clients are being drained, see [`crate::Clients::drain`].
-    pub away: Cell<DrainMode>,
+    pub drain_mode: Cell<DrainMode>,
     /// While true, submissions wait, as another process may be about to take over.
     pub paused: watch::Sender<bool>,
 }
@@ -47,7 +47,7 @@
 pub enum DrainMode {
     /// Clients are not being drained.
     #[default]
-    No,
+    NotDraining,
     /// The health check fails, so that no new clients are sent here.
     Unhealthy,
     /// The health check fails, and each answer closes its connection.
@@ -70,7 +70,7 @@
             match *request.method() {
                 // The health check fails so that no new clients are sent here.
                 _ if self.stopping.get() => plain_response(StatusCode::SERVICE_UNAVAILABLE, "stopping\n"),
-                _ if self.away.get() > DrainMode::No => {
+                _ if self.drain_mode.get() > DrainMode::NotDraining => {
                     plain_response(StatusCode::SERVICE_UNAVAILABLE, "drained\n")
                 }
                 Method::GET | Method::HEAD => plain_response(StatusCode::OK, ""),
@@ -92,7 +92,7 @@
         };
         connection.request_answered();
         // A client whose request was rejected must reconnect to send more.
-        let closing = self.stopping.get() || self.away.get() == DrainMode::Closing;
+        let closing = self.stopping.get() || self.drain_mode.get() == DrainMode::Closing;
         if closing || connection.closes_after_request() || reply.status().is_client_error() {
             reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
@@ -104,7 +104,7 @@
         let (sender, receiver) = oneshot::channel();
         let (call_id, client) = (message.call_id.clone(), connection.number);
         connection.audit_call(&call_id);
-        audit::note(&call_id, || Step::Handed {
+        audit::log_step(&call_id, || Step::Handed {
             client,
             due: message.due,
             class: message.class,
@@ -118,7 +118,7 @@
             Ok(Answer::Refused { retry_after_ms }) => refused_response(retry_after_ms),
             Err(_) => refused_response(None),
         };
-        audit::note(&call_id, || Step::Answered { client, status: reply.status().as_u16() });
+        audit::log_step(&call_id, || Step::Answered { client, status: reply.status().as_u16() });
         reply
     }
 
--- a/crates/http/src/notices.rs
+++ b/crates/http/src/notices.rs
@@ -101,7 +101,7 @@
                     );
                 }
                 for notice in &pending[..count] {
-                    audit::note(&notice.call_id, || Step::Notified { status: status.as_u16() });
+                    audit::log_step(&notice.call_id, || Step::Notified { status: status.as_u16() });
                 }
                 let confirmed = pending.drain(..count).map(|n| n.id).collect();
                 if !engine.confirm(confirmed) {
--- a/crates/http/src/outcomes.rs
+++ b/crates/http/src/outcomes.rs
@@ -15,7 +15,7 @@
     /// Whether the message is finished, so that no further attempt is due.
     pub settled: bool,
     /// The `Retry-After` that came with [`Outcome::Full`], in milliseconds, else 0.
-    pub wait_ms: f64,
+    pub retry_after_ms: f64,
 }
 
 impl ParsedOutcome {
@@ -31,8 +31,8 @@
             // 500 or a status that the protocol doesn't define: the call may have run.
             _ => (Outcome::Error, false),
         };
-        let wait_ms = if outcome == Outcome::Full { retry_after_ms(headers) } else { 0.0 };
-        ParsedOutcome { outcome, settled, wait_ms }
+        let retry_after_ms = if outcome == Outcome::Full { retry_after_ms(headers) } else { 0.0 };
+        ParsedOutcome { outcome, settled, retry_after_ms }
     }
 }
 
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -111,7 +111,7 @@
     pub outages: Vec<OutageRecord>,
     pub tombstones: Vec<TombstoneRecord>,
     /// Log lines about damage in the file.
-    pub notes: Vec<String>,
+    pub damage_notes: Vec<String>,
 }
 
 fn frame(record: &Record) -> io::Result<Vec<u8>> {
@@ -187,7 +187,7 @@
             other => other?,
         };
         let mut recovered = RecoveredState::default();
-        let records = read_records(&bytes, &mut recovered.notes);
+        let records = read_records(&bytes, &mut recovered.damage_notes);
         let file = OpenOptions::new().create(true).append(true).open(&path)?;
         // Files take up space in units of 512 bytes, and there are two files during a compaction.
         let max_bytes = max_bytes.saturating_sub(2 * 512);
@@ -228,7 +228,7 @@
     ///
     /// # Errors
     /// `WouldBlock` if another process has the folder, and any error of writing.
-    pub fn retake(&mut self) -> io::Result<()> {
+    pub fn reacquire(&mut self) -> io::Result<()> {
         lock_folder(&self.lock)?;
         self.released = false;
         self.compact()
--- a/crates/journal/tests/recorded.rs
+++ b/crates/journal/tests/recorded.rs
@@ -58,7 +58,7 @@
     let folder = empty_folder("recorded-journal-read");
     fs::write(folder.join("journal"), SAMPLE).unwrap();
     let (_journal, recovered) = Journal::open(folder, MAX_BYTES).unwrap();
-    assert_eq!(recovered.notes, Vec::<String>::new(), "the undamaged sample was reported as damaged");
+    assert_eq!(recovered.damage_notes, Vec::<String>::new(), "the undamaged sample was reported as damaged");
     let attempt = |number, at, endpoint: &str, may_have_run, may_run_yet| Attempt {
         number,
         at,
--- a/crates/linenhall/src/handover.rs
+++ b/crates/linenhall/src/handover.rs
@@ -91,7 +91,7 @@
 
 impl Relay {
     /// Returns what a process that takes over from this one should know, besides outages and Retry-Afters.
-    pub fn learnt(&self, now: f64) -> Learnt {
+    pub fn export_learnt(&self, now: f64) -> Learnt {
         let mut groups: Vec<_> =
             self.fleet.groups.walk().map(|(id, group)| export_group(id, group, now)).collect();
         groups.sort_by(|a, b| (a.destination, &a.endpoint).cmp(&(b.destination, &b.endpoint)));
--- a/crates/linenhall/src/index/mod.rs
+++ b/crates/linenhall/src/index/mod.rs
@@ -27,7 +27,7 @@
 }
 
 /// Returns the elementary steps (comparisons and visits) of this thread so far; 0 without debug assertions.
-pub fn steps() -> u64 {
+pub fn step_count() -> u64 {
     STEPS.with(Cell::get)
 }
 
@@ -90,8 +90,8 @@
 
     #[test]
     fn counts_comparisons() {
-        let before = steps();
+        let before = step_count();
         let _less = OrderedF64::new(1.0) < OrderedF64::new(2.0);
-        assert_eq!(steps() - before, u64::from(cfg!(debug_assertions)));
+        assert_eq!(step_count() - before, u64::from(cfg!(debug_assertions)));
     }
 }
--- a/crates/linenhall/src/index/table.rs
+++ b/crates/linenhall/src/index/table.rs
@@ -89,7 +89,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::steps;
+    use super::super::step_count;
     use super::*;
 
     #[test]
@@ -98,12 +98,12 @@
         for n in 0..1000 {
             table.insert(n, n);
         }
-        let before = steps();
+        let before = step_count();
         assert_eq!(table.get(&7), Some(&7));
-        let cached_action = steps() - before;
+        let cached_action = step_count() - before;
         assert_eq!(table.walk().count(), 1000);
         if cfg!(debug_assertions) {
-            assert_eq!((cached_action, steps() - before), (1, 1001));
+            assert_eq!((cached_action, step_count() - before), (1, 1001));
         }
     }
 
--- a/crates/linenhall/src/interface.rs
+++ b/crates/linenhall/src/interface.rs
@@ -88,7 +88,7 @@
     /// How the value falls after the aim.
     pub value_decay: ValueDecay,
     /// For each kind of destination: how many requests one call may carry.
-    pub batch: Vec<usize>,
+    pub batch_by_kind: Vec<usize>,
     /// For each kind of destination: whether each of its endpoints has its own limit and health.
     pub own_limits: Vec<bool>,
     /// For each zone: the price of a request accepted by an endpoint there that has its own limit.
@@ -244,7 +244,7 @@
         destination: u64,
     },
     /// A request that an earlier process of this relay had accepted, with what is known of its attempts.
-    Restored {
+    RequestRestored {
         /// Its id.
         id: u64,
         /// Index of its class.
@@ -269,7 +269,7 @@
     },
     /// The next attempt of a restored request is in flight already: an earlier process completes it, and its
     /// end comes as [`Event::Ended`]. The endpoint is listed.
-    Resumed {
+    AttemptResumed {
         /// Its id.
         id: u64,
         /// The endpoint.
@@ -305,7 +305,7 @@
     RetryAfters(Vec<(u64, String, f64)>),
     /// What an earlier process that still runs has learnt, or a part of it. Comes after the list and the
     /// outages.
-    Learnt(Box<crate::learnt::Learnt>),
+    RestoreLearnt(Box<crate::learnt::Learnt>),
     /// The process will end: no attempt may start that could be in flight at this time.
     Stopping {
         /// When.
@@ -331,7 +331,7 @@
         /// Whether the request is finished and needs no answer.
         settled: bool,
         /// The Retry-After received with [`Outcome::Full`], or 0.
-        wait_ms: f64,
+        retry_after_ms: f64,
         /// The load report; empty if there is none.
         report: Vec<f64>,
     },
@@ -424,9 +424,9 @@
         data: Vec<u8>,
     },
     /// Start or stop watching the list.
-    Watch(bool),
+    WatchList(bool),
     /// Request the full list once.
-    Fetch,
+    FetchList,
     /// Write a line to the log.
     Log(String),
 }
--- a/crates/linenhall/src/learnt.rs
+++ b/crates/linenhall/src/learnt.rs
@@ -95,7 +95,7 @@
 
 impl Learnt {
     /// Splits this into parts of at most this many rows of each kind.
-    pub fn parts(mut self, rows: usize) -> Vec<Learnt> {
+    pub fn split(mut self, rows: usize) -> Vec<Learnt> {
         let rows = rows.max(1);
         let mut parts = vec![Learnt { tenants: self.tenants, all: self.all, ..Learnt::default() }];
         while !(self.lanes.is_empty() && self.hosts.is_empty() && self.dests.is_empty()) {
--- a/crates/linenhall/src/lib.rs
+++ b/crates/linenhall/src/lib.rs
@@ -17,7 +17,7 @@
 mod upkeep;
 mod view;
 
-pub use index::steps;
+pub use index::step_count;
 pub use interface::*;
 pub use learnt::{Learnt, LearntDestination, LearntGroup, LearntHost, Rate};
 pub use logic::Relay;
--- a/crates/linenhall/src/logic.rs
+++ b/crates/linenhall/src/logic.rs
@@ -248,8 +248,8 @@
         match event {
             Event::ListUpdate(update) => self.apply_list_update(update, actions),
             Event::Request { .. } => self.accept_request(event, actions),
-            Event::Restored { .. } => self.restore_request(event, actions),
-            Event::Resumed { id, endpoint, sent } => {
+            Event::RequestRestored { .. } => self.restore_request(event, actions),
+            Event::AttemptResumed { id, endpoint, sent } => {
                 let now = self.now;
                 self.now = clamp_finite(*sent, 0.0, now);
                 self.start_attempt(*id, &Name::from(endpoint.as_str()), &mut Vec::new());
@@ -267,7 +267,7 @@
                     group.retry_after_until = group.retry_after_until.max(*until);
                 }
             }
-            Event::Learnt(learnt) => {
+            Event::RestoreLearnt(learnt) => {
                 self.restore_learnt(learnt).iter().for_each(|id| self.mark_group_dirty(id))
             }
             Event::Stopping { at } => self.stop_at = Some(*at),
@@ -740,7 +740,7 @@
     /// Takes over a message of an earlier process. What its attempts may have done has the same consequences
     /// here as there.
     fn restore_request(&mut self, event: &Event, actions: &mut Vec<Action>) {
-        let Event::Restored {
+        let Event::RequestRestored {
             id,
             class,
             tenant,
@@ -754,7 +754,7 @@
         else {
             return;
         };
-        let Event::Restored { may_be_running, untried, .. } = event else { return };
+        let Event::RequestRestored { may_be_running, untried, .. } = event else { return };
         let (id, class, due) = (*id, (*class).min(self.settings.classes.len().saturating_sub(1)), *due);
         let Some(spec) = self.settings.classes.get(class) else { return actions.push(Action::Fail { id }) };
         let arrived_at = (due - spec.deadline_ms).min(self.now);
@@ -949,7 +949,7 @@
     /// Handles the end of an attempt: records its outcome once per call, and ends the message or queues it
     /// again.
     fn attempt_ended(&mut self, event: &Event, actions: &mut Vec<Action>) {
-        let Event::Ended { id, attempt, outcome, took_ms, settled, wait_ms, report } = event else {
+        let Event::Ended { id, attempt, outcome, took_ms, settled, retry_after_ms, report } = event else {
             return;
         };
         let (id, outcome) = (*id, *outcome);
@@ -1010,7 +1010,7 @@
                 outcome
             };
             let (took_ms, retry_after_ms) =
-                (clamp_finite(*took_ms, 0.0, 1e9), clamp_finite(*wait_ms, 0.0, 1e9));
+                (clamp_finite(*took_ms, 0.0, 1e9), clamp_finite(*retry_after_ms, 0.0, 1e9));
             self.learn_from(
                 &CallObservation {
                     group_id: &group_id,
@@ -1147,7 +1147,7 @@
             && self.now >= self.next_watch_at
         {
             self.watch_requested = true;
-            actions.push(Action::Watch(true));
+            actions.push(Action::WatchList(true));
         }
     }
 
@@ -1425,7 +1425,7 @@
         let carries_unsafe = class.effect == Effect::Unsafe;
         let Some(group) = self.fleet.groups.get_mut(&group_id) else { return };
         let trial = group.breaker == BreakerState::Open;
-        let batch = self.settings.batch.get(host.kind).copied().unwrap_or(1).max(1);
+        let batch = self.settings.batch_by_kind.get(host.kind).copied().unwrap_or(1).max(1);
         let timeout_ms = attempt_timeout(now, group, class, message.due);
         let first = now - self.settings.fall_ms.max(self.settings.warm_after_ms);
         let call_id = match self.open_batches.get_mut(endpoint) {
--- a/crates/linenhall/src/upkeep.rs
+++ b/crates/linenhall/src/upkeep.rs
@@ -199,7 +199,7 @@
     /// names of its endpoints, or [`InUse`] if it can't be forgotten; `None` if it is unknown. Before a later
     /// request for it, the caller has to list its endpoints again. What was measured is lost: latency,
     /// reported limit and recent rates.
-    pub fn forget(&mut self, now: f64, destination_id: u64) -> Option<Result<Vec<Name>, InUse>> {
+    pub fn forget_destination(&mut self, now: f64, destination_id: u64) -> Option<Result<Vec<Name>, InUse>> {
         self.now = self.now.max(now);
         let now = self.now;
         let destination = self.fleet.destinations.get(&destination_id)?;
--- a/crates/linenhall/src/view.rs
+++ b/crates/linenhall/src/view.rs
@@ -76,7 +76,7 @@
     }
 
     /// Returns the number of listed endpoints, and how many of them are avoided at the moment.
-    pub fn hosts(&self, now: f64) -> (usize, usize) {
+    pub fn host_counts(&self, now: f64) -> (usize, usize) {
         self.fleet.host_counts(now)
     }
 
--- a/crates/linenhall/tests/common/loaded.rs
+++ b/crates/linenhall/tests/common/loaded.rs
@@ -37,7 +37,7 @@
         tenant_rates: vec![1000.0, 700.0, 500.0],
         over_share_value: 0.05,
         value_decay: ValueDecay::Halving,
-        batch: vec![1],
+        batch_by_kind: vec![1],
         own_limits: vec![false],
         may_cancel: true,
         may_probe: true,
@@ -115,7 +115,7 @@
             outcome,
             took_ms,
             settled: true,
-            wait_ms: 0.0,
+            retry_after_ms: 0.0,
             report,
         }]);
     }
--- a/crates/linenhall/tests/common/mod.rs
+++ b/crates/linenhall/tests/common/mod.rs
@@ -23,7 +23,7 @@
         max_attempts: 10,
         classes: vec![class(Effect::Safe), class(Effect::Keyed), class(Effect::Unsafe)],
         over_share_value: 1.0,
-        batch: vec![1, 4],
+        batch_by_kind: vec![1, 4],
         own_limits: vec![false, false, true],
         may_cancel: true,
         conn_idle_ms: 5000.0,
@@ -157,11 +157,11 @@
 /// The event of an attempt's end without Retry-After and load report; only a delivery settles the request.
 pub fn ended(id: u64, attempt: u32, outcome: Outcome, took_ms: f64) -> Event {
     let settled = outcome == Outcome::Delivered;
-    Event::Ended { id, attempt, outcome, took_ms, settled, wait_ms: 0.0, report: Vec::new() }
+    Event::Ended { id, attempt, outcome, took_ms, settled, retry_after_ms: 0.0, report: Vec::new() }
 }
 
-/// The event of an attempt that the endpoint turned away as full, with a Retry-After of `wait_ms` (0: none).
-pub fn ended_full(id: u64, attempt: u32, wait_ms: f64) -> Event {
+/// The event of an attempt that the endpoint rejected as full, with this Retry-After (0: none).
+pub fn ended_full(id: u64, attempt: u32, retry_after_ms: f64) -> Event {
     let outcome = Outcome::Full;
-    Event::Ended { id, attempt, outcome, took_ms: 1.0, settled: false, wait_ms, report: Vec::new() }
+    Event::Ended { id, attempt, outcome, took_ms: 1.0, settled: false, retry_after_ms, report: Vec::new() }
 }
--- a/crates/linenhall/tests/learnt_state.rs
+++ b/crates/linenhall/tests/learnt_state.rs
@@ -9,9 +9,9 @@
     let mut next = Harness::new(settings, destination_count);
     next.now = harness.now;
     let mut events = vec![Event::Outages(harness.relay.outages())];
-    let learnt = harness.relay.learnt(harness.now);
+    let learnt = harness.relay.export_learnt(harness.now);
     events.extend(
-        learnt.parts(1).into_iter().filter(|_| with_learnt).map(|part| Event::Learnt(Box::new(part))),
+        learnt.split(1).into_iter().filter(|_| with_learnt).map(|part| Event::RestoreLearnt(Box::new(part))),
     );
     next.handle(&events);
     next.relay.audit().expect("audit of the next process failed");
@@ -39,14 +39,14 @@
 #[test]
 fn learnt_state_survives_transfer_in_parts_and_serialization() {
     let harness = relay_with_history();
-    let learnt = harness.relay.learnt(harness.now);
+    let learnt = harness.relay.export_learnt(harness.now);
     assert!(
         learnt.lanes.iter().any(|l| l.pace.is_some())
             && learnt.lanes.iter().any(|l| l.fails > 0 && l.failing)
     );
     assert!(learnt.hosts.iter().any(|h| h.fails > 0) && learnt.dests.len() >= 2);
     let next = next_process(&harness, settings(), 4, true);
-    let again = next.relay.learnt(next.now);
+    let again = next.relay.export_learnt(next.now);
     assert_eq!(again.hosts, learnt.hosts);
     assert_eq!(again.dests, learnt.dests);
     assert_eq!(again.all, learnt.all);
@@ -97,7 +97,7 @@
     for text in texts {
         let learnt: Learnt = serde_json::from_str(text).expect(text);
         let mut harness = Harness::new(settings(), 2);
-        harness.handle(&[Event::Learnt(Box::new(learnt))]);
+        harness.handle(&[Event::RestoreLearnt(Box::new(learnt))]);
         harness.relay.audit().expect(text);
         for n in 0..40 {
             let (id, sent) = harness.submit(SAFE, n % 2);
@@ -179,8 +179,8 @@
         let (due, sent_at) = (harness.now + 10000.0, harness.now);
         let mut next = Harness::new(settings, 2);
         next.now = harness.now;
-        let learnt = harness.relay.learnt(harness.now);
-        let restored = Event::Restored {
+        let learnt = harness.relay.export_learnt(harness.now);
+        let restored = Event::RequestRestored {
             id: lost,
             class: SAFE,
             tenant: 0,
@@ -192,8 +192,8 @@
             may_be_running: false,
             untried: true,
         };
-        let resumed = Event::Resumed { id: lost, endpoint: "h0".into(), sent: sent_at };
-        let learnt = with_learnt.then(|| Event::Learnt(Box::new(learnt)));
+        let resumed = Event::AttemptResumed { id: lost, endpoint: "h0".into(), sent: sent_at };
+        let learnt = with_learnt.then(|| Event::RestoreLearnt(Box::new(learnt)));
         next.handle(&learnt.into_iter().chain([restored, resumed]).collect::<Vec<_>>());
         // A message for another destination waits for the only slot. Its id must differ from that of the lost
         // one.
--- a/crates/linenhall/tests/many_relays.rs
+++ b/crates/linenhall/tests/many_relays.rs
@@ -109,14 +109,14 @@
                     let attempt = *attempts.entry((relay, id)).and_modify(|n| *n += 1).or_insert(0);
                     let outcome =
                         if accepted { linenhall::Outcome::Delivered } else { linenhall::Outcome::Full };
-                    let (took_ms, wait_ms) = (40.0, 0.0);
+                    let (took_ms, retry_after_ms) = (40.0, 0.0);
                     let end = linenhall::Event::Ended {
                         id,
                         attempt,
                         outcome,
                         took_ms,
                         settled: accepted,
-                        wait_ms,
+                        retry_after_ms,
                         report,
                     };
                     (took_ms, end)
@@ -173,8 +173,9 @@
         let first = harness.handle(&[event])[0].1.clone();
         let outcome = linenhall::Outcome::Full;
         let report = vec![remaining, 1000.0];
-        let (attempt, took_ms, settled, wait_ms) = (0, 20.0, false, 0.0);
-        let refused = linenhall::Event::Ended { id, attempt, outcome, took_ms, settled, wait_ms, report };
+        let (attempt, took_ms, settled, retry_after_ms) = (0, 20.0, false, 0.0);
+        let refused =
+            linenhall::Event::Ended { id, attempt, outcome, took_ms, settled, retry_after_ms, report };
         assert!(harness.handle(&[refused]).is_empty(), "sent again without a backoff after a refusal");
         let mut next = Vec::new();
         for _ in 0..100 {
@@ -189,9 +190,9 @@
     }
 }
 
-fn refused(id: u64, attempt: u32, wait_ms: f64, report: Vec<f64>) -> linenhall::Event {
+fn refused(id: u64, attempt: u32, retry_after_ms: f64, report: Vec<f64>) -> linenhall::Event {
     let (outcome, took_ms, settled) = (linenhall::Outcome::Full, 20.0, false);
-    linenhall::Event::Ended { id, attempt, outcome, took_ms, settled, wait_ms, report }
+    linenhall::Event::Ended { id, attempt, outcome, took_ms, settled, retry_after_ms, report }
 }
 
 fn settings_with_limit_reports() -> linenhall::Settings {
@@ -256,7 +257,7 @@
             sent = harness.advance(10.0);
         }
         assert_eq!(sent[0].0, id);
-        let (outcome, took_ms, settled, wait_ms) = (linenhall::Outcome::Delivered, 20.0, true, 0.0);
+        let (outcome, took_ms, settled, retry_after_ms) = (linenhall::Outcome::Delivered, 20.0, true, 0.0);
         let report = vec![0.5, 300.0];
         harness.handle(&[linenhall::Event::Ended {
             id,
@@ -264,7 +265,7 @@
             outcome,
             took_ms,
             settled,
-            wait_ms,
+            retry_after_ms,
             report,
         }]);
         harness.now += 300.0;
@@ -293,8 +294,8 @@
 }
 
 fn delivered(id: u64, report: Vec<f64>) -> linenhall::Event {
-    let (outcome, took_ms, settled, wait_ms) = (linenhall::Outcome::Delivered, 20.0, true, 0.0);
-    linenhall::Event::Ended { id, attempt: 0, outcome, took_ms, settled, wait_ms, report }
+    let (outcome, took_ms, settled, retry_after_ms) = (linenhall::Outcome::Delivered, 20.0, true, 0.0);
+    linenhall::Event::Ended { id, attempt: 0, outcome, took_ms, settled, retry_after_ms, report }
 }
 
 /// Guards against a takeover that resets a relay's rate limit to its even part of the partner's limit.
@@ -308,7 +309,7 @@
         old.handle(&[delivered(id, vec![0.95, 100.0])]);
         old.now += 2000.0;
     }
-    let learnt = old.relay.learnt(old.now);
+    let learnt = old.relay.export_learnt(old.now);
     let rate_limit = learnt.lanes[0].pace.unwrap_or(0.0);
     assert!(
         rate_limit > 1.3,
@@ -316,12 +317,12 @@
     );
     let mut new = Harness::with_list_and_seed(settings, vec![endpoint("a", 0)], 4);
     new.now = old.now;
-    new.handle(&[linenhall::Event::Learnt(Box::new(learnt))]);
+    new.handle(&[linenhall::Event::RestoreLearnt(Box::new(learnt))]);
     new.now += 2000.0;
     let (id, event) = new.request(SAFE, 0);
     assert_eq!(new.handle(&[event]).len(), 1);
     new.handle(&[delivered(id, vec![0.5, 100.0])]);
-    assert_eq!(new.relay.learnt(new.now).lanes[0].pace, Some(rate_limit));
+    assert_eq!(new.relay.export_learnt(new.now).lanes[0].pace, Some(rate_limit));
 }
 
 /// With much of the limit left, all relays raise their rate limits. A relay that always has a backlog must stay
@@ -342,7 +343,7 @@
             sent.extend(harness.handle(&[delivered(id, vec![0.95, 100.0])]));
         }
     }
-    let rate_limit = harness.relay.learnt(harness.now).lanes[0].pace.unwrap_or(0.0);
+    let rate_limit = harness.relay.export_learnt(harness.now).lanes[0].pace.unwrap_or(0.0);
     assert!(
         (0.9..=1.1).contains(&rate_limit),
         "the rate limit is {rate_limit}, the even part one call a second"
--- a/crates/linenhall/tests/restored_untried.rs
+++ b/crates/linenhall/tests/restored_untried.rs
@@ -11,7 +11,7 @@
 fn restored(id: u64, destination: u64, due: f64, untried: bool) -> Event {
     let (class, tenant, key, attempts, first_uncertain_send, may_be_running) =
         (SAFE, 0, None, 0, None, false);
-    Event::Restored {
+    Event::RequestRestored {
         id,
         class,
         tenant,
--- a/crates/linenhall/tests/scale.rs
+++ b/crates/linenhall/tests/scale.rs
@@ -11,14 +11,14 @@
 
 /// Returns the mean and the maximum number of steps per message, each submitted and delivered.
 fn mean_and_max_steps(relay: &mut Loaded, messages: u64) -> (u64, u64) {
-    let start = steps();
+    let start = step_count();
     let max_steps = (0..messages).map(|_| {
-        let before = steps();
+        let before = step_count();
         relay.step();
-        steps() - before
+        step_count() - before
     });
     let max_steps = max_steps.max().unwrap_or(0);
-    ((steps() - start) / messages, max_steps)
+    ((step_count() - start) / messages, max_steps)
 }
 
 /// Guards against work for each event that grows with the number of queued messages.
@@ -52,13 +52,13 @@
         for n in 0..queued as u64 + 50 {
             harness.submit(SAFE, n % destinations);
         }
-        let before = steps();
+        let before = step_count();
         let refused = (0..100).filter(|n| {
             harness.submit(SAFE, n % destinations);
             harness.last_actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
         });
         assert_eq!(refused.count(), 100);
-        (steps() - before) / 100
+        (step_count() - before) / 100
     };
     let (small, large) = (steps_per_refusal(20, 200), steps_per_refusal(2000, 20_000));
     println!("{small} steps a message with a full queue of 200, {large} with one of 20,000");
@@ -113,7 +113,7 @@
     }
     let mut max_steps = 0;
     for n in 0..2000u64 {
-        let before = steps();
+        let before = step_count();
         let destination = 1 + n % 500;
         let (id, sent) = harness.submit(SAFE, destination);
         assert!(sent, "a message for another destination was not sent at once");
@@ -124,7 +124,7 @@
             "sent {} ms into a Retry-After of 4000 ms",
             harness.now - refused_at
         );
-        max_steps = max_steps.max(steps() - before);
+        max_steps = max_steps.max(step_count() - before);
     }
     println!("{max_steps} steps a message at most beside 50,000 queued");
     assert!(max_steps < 1500, "{max_steps} steps a message beside 50,000 queued");
@@ -146,14 +146,14 @@
     for destination in 0..destinations {
         let (id, sent) = harness.submit(SAFE, destination);
         assert!(sent);
-        let wait_ms = 2000.0 + ((destination * 7919) % destinations) as f64 / 4.0;
-        harness.handle(&[ended_full(id, 0, wait_ms)]);
-        waits_until.insert(id, harness.now + wait_ms);
+        let retry_after_ms = 2000.0 + ((destination * 7919) % destinations) as f64 / 4.0;
+        harness.handle(&[ended_full(id, 0, retry_after_ms)]);
+        waits_until.insert(id, harness.now + retry_after_ms);
     }
     // A message for another destination.
-    let before = steps();
+    let before = step_count();
     harness.warm_up(destinations, 1, 1.0);
-    let spent = steps() - before;
+    let spent = step_count() - before;
     println!("{spent} steps for a message beside 10,000 Retry-Afters");
     assert!(spent < 1000, "{spent} steps for a message beside 10,000 Retry-Afters");
     let (mut max_delay_ms, mut timer, mut sent) = (0.0f64, f64::MAX, 0);
@@ -172,7 +172,7 @@
         timer = timers.into_iter().fold(timer, f64::min);
         assert!(timer < f64::MAX, "no timer is set with {sent} of {destinations} messages sent");
         harness.now = timer;
-        let before = steps();
+        let before = step_count();
         for (id, _) in harness.advance(0.0) {
             max_delay_ms = max_delay_ms.max(harness.now - waits_until[&id]);
             assert!(harness.now >= waits_until[&id], "sent before the end of Retry-After");
@@ -181,7 +181,7 @@
             let timers = harness.handle_returning_timers(&[ended]);
             timer = timers.into_iter().fold(timer, f64::min);
         }
-        assert!(steps() - before < 3000);
+        assert!(step_count() - before < 3000);
     }
     assert!(max_delay_ms < 2.0, "sent {max_delay_ms} ms after the end of Retry-After");
 }
@@ -216,7 +216,7 @@
     let mut max_steps = 0;
     while harness.now < outage_end + 3000.0 {
         harness.now += 50.0;
-        let before = steps();
+        let before = step_count();
         let requests: Vec<Event> = (0..100)
             .map(|n| harness.request(SAFE, (n * 10 + (harness.now as u64 / 50) % 10) % destinations).1)
             .collect();
@@ -242,7 +242,7 @@
         record_sends(&harness, sent, &mut in_flight, &mut attempts);
         let sent = harness.advance(0.0);
         record_sends(&harness, sent, &mut in_flight, &mut attempts);
-        max_steps = max_steps.max((steps() - before) / (requests.len() + events.len() + 1) as u64);
+        max_steps = max_steps.max((step_count() - before) / (requests.len() + events.len() + 1) as u64);
     }
     println!("{max_steps} steps an event at most");
     assert_eq!(
@@ -287,9 +287,9 @@
         // In each round a message for another destination is submitted and sent.
         let (_, event) = harness.request(SAFE, 1 + other % 10);
         other += 1;
-        let before = steps();
+        let before = step_count();
         let sent = harness.handle(&[Event::Timer { token: 0 }, event]);
-        assert!(steps() - before < 300_000, "{} steps in one round", steps() - before);
+        assert!(step_count() - before < 300_000, "{} steps in one round", step_count() - before);
         let mut answers = 0;
         timer = f64::MAX;
         for action in &harness.last_actions {
@@ -329,9 +329,9 @@
     for destination in 0..5000 {
         harness.submit(SAFE, destination);
     }
-    let before = steps();
+    let before = step_count();
     harness.handle(&[Event::ListUpdate(ListUpdate::Full(list(Some(2))))]);
-    let steps_for_one = steps() - before;
+    let steps_for_one = step_count() - before;
     println!("{steps_for_one} steps for a full list of {hosts} that differs in one");
     assert!(steps_for_one < 8 * hosts, "{steps_for_one} steps for a full list that differs in one endpoint");
     let called_hosts: BTreeSet<String> = (0..4)
@@ -343,9 +343,9 @@
     assert_eq!(called_hosts, BTreeSet::from(["h3".to_string()]), "the draining endpoint was called");
     // Replace all endpoints at once.
     let new: Vec<Endpoint> = (0..hosts).map(|n| endpoint(&format!("n{n}"), n / 2)).collect();
-    let before = steps();
+    let before = step_count();
     harness.handle(&[Event::ListUpdate(ListUpdate::Full(new))]);
-    let steps_for_all = steps() - before;
+    let steps_for_all = step_count() - before;
     println!("{steps_for_all} steps for a change of {hosts} at once");
     assert!(steps_for_all < 400 * hosts, "{steps_for_all} steps to replace all endpoints");
     let (_, event) = harness.request(SAFE, 7000);
@@ -368,9 +368,9 @@
         }
         assert!(!harness.submit(SAFE, destinations).1, "sent although no slot is free");
         harness.now += 5000.0;
-        let before = steps();
+        let before = step_count();
         harness.advance(0.0);
-        let spent = steps() - before;
+        let spent = step_count() - before;
         let cancelled: Vec<u64> = harness
             .last_actions
             .iter()
@@ -384,7 +384,7 @@
         );
         // Calls that became overdue together are examined once; the next call to cancel is then found at
         // once.
-        let before = steps();
+        let before = step_count();
         harness.advance(1.0);
         let cancels = harness.last_actions.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
         assert_eq!(
@@ -393,7 +393,7 @@
             "wrong number of cancellations: {:?}",
             harness.last_actions
         );
-        (spent, steps() - before)
+        (spent, step_count() - before)
     };
     let (small, large) = (steps_to_cancel(40), steps_to_cancel(4000));
     println!("{small:?} steps with 40 slots, {large:?} with 4000");
--- a/crates/linenhall/tests/scheduling.rs
+++ b/crates/linenhall/tests/scheduling.rs
@@ -147,13 +147,13 @@
 #[test]
 fn discovery_is_polled_again_after_a_failure() {
     let mut harness = Harness::new(Settings { poll_discovery: true, ..settings() }, 1);
-    assert!(harness.last_actions.contains(&Action::Watch(true)));
+    assert!(harness.last_actions.contains(&Action::WatchList(true)));
     harness.handle(&[Event::ListUpdate(ListUpdate::Failed)]);
-    assert!(harness.logged("discovery failing") && !harness.last_actions.contains(&Action::Watch(true)));
+    assert!(harness.logged("discovery failing") && !harness.last_actions.contains(&Action::WatchList(true)));
     let mut watches = 0;
     for _ in 0..400 {
         harness.advance(5.0);
-        watches += harness.last_actions.iter().filter(|a| **a == Action::Watch(true)).count();
+        watches += harness.last_actions.iter().filter(|a| **a == Action::WatchList(true)).count();
     }
     assert_eq!(watches, 1, "discovery was not polled exactly once while an answer is pending");
     assert!(harness.submit(SAFE, 0).1, "the last list is not used after a failure");
--- a/crates/linenhall/tests/slow_start.rs
+++ b/crates/linenhall/tests/slow_start.rs
@@ -64,8 +64,8 @@
                     } else {
                         (Outcome::Delivered, 40.0)
                     };
-                    let (settled, wait_ms, report) = (!down, 0.0, Vec::new());
-                    (took_ms, Event::Ended { id, attempt, outcome, took_ms, settled, wait_ms, report })
+                    let (settled, retry_after_ms, report) = (!down, 0.0, Vec::new());
+                    (took_ms, Event::Ended { id, attempt, outcome, took_ms, settled, retry_after_ms, report })
                 }
                 Action::Timer { at, token } => (at - harness.now, Event::Timer { token }),
                 _ => continue,
--- a/crates/linenhall/tests/streams.rs
+++ b/crates/linenhall/tests/streams.rs
@@ -28,7 +28,7 @@
     sent_at: f64,
     ends_at: f64,
     outcome: Outcome,
-    wait_ms: f64,
+    retry_after_ms: f64,
 }
 
 /// Simulation of the clients, the discovery and the destinations around one relay.
@@ -91,7 +91,7 @@
         tenant_rates: (0..rng.usize(0..4)).map(|n| 5.0 + n as f64).collect(),
         over_share_value: 0.05,
         value_decay: if rng.bool() { ValueDecay::Halving } else { ValueDecay::Linear },
-        batch: vec![1, rng.usize(1..5), 1],
+        batch_by_kind: vec![1, rng.usize(1..5), 1],
         own_limits: vec![false, false, own_limits],
         route_fee: vec![0.01, 0.02],
         cross_zone_cost: 0.01,
@@ -186,7 +186,7 @@
         self.attempts.insert(id, attempts);
         let due = due - 500.0;
         let untried = attempts == 0;
-        Event::Restored {
+        Event::RequestRestored {
             id,
             class,
             tenant,
@@ -266,10 +266,10 @@
         let (ended_calls, in_flight) =
             std::mem::take(&mut self.in_flight).into_iter().partition(|f| f.ends_at <= self.now);
         self.in_flight = in_flight;
-        for InFlightCall { id, attempt, sent_at, outcome, wait_ms, .. } in ended_calls {
+        for InFlightCall { id, attempt, sent_at, outcome, retry_after_ms, .. } in ended_calls {
             let (settled, took_ms, report) =
                 (outcome == Outcome::Delivered, self.now - sent_at, self.report());
-            events.push(Event::Ended { id, attempt, outcome, took_ms, settled, wait_ms, report });
+            events.push(Event::Ended { id, attempt, outcome, took_ms, settled, retry_after_ms, report });
         }
         let (ended_probes, probes) =
             std::mem::take(&mut self.probes).into_iter().partition(|p| p.1 <= self.now);
@@ -294,7 +294,7 @@
                         self.list.iter().find(|e| e.name == *endpoint).map_or(0, |e| e.destination as usize);
                     let took_ms = self.response_times[destination] * (0.5 + self.rng.f64());
                     let timeout_ms = timeout_ms.unwrap_or(8000.0);
-                    let (outcome, took_ms, wait_ms) = match self.states[destination].0 {
+                    let (outcome, took_ms, retry_after_ms) = match self.states[destination].0 {
                         DestinationState::Errors(share) if self.rng.f64() < share => {
                             (Outcome::Error, took_ms, 0.0)
                         }
@@ -311,7 +311,14 @@
                         _ => (Outcome::Delivered, took_ms, 0.0),
                     };
                     let (id, sent_at, ends_at) = (*id, self.now, self.now + took_ms);
-                    self.in_flight.push(InFlightCall { id, attempt, sent_at, ends_at, outcome, wait_ms });
+                    self.in_flight.push(InFlightCall {
+                        id,
+                        attempt,
+                        sent_at,
+                        ends_at,
+                        outcome,
+                        retry_after_ms,
+                    });
                 }
                 Action::Cancel { id, attempt } => {
                     let cancelled = self.in_flight.iter_mut().find(|f| f.id == *id && f.attempt == *attempt);
@@ -415,7 +422,7 @@
         }
         let mut filtered = Vec::new();
         for event in events {
-            if let Event::Restored { first_uncertain_send: Some((_, host)), .. } = &event {
+            if let Event::RequestRestored { first_uncertain_send: Some((_, host)), .. } = &event {
                 // The simulation also restores messages that went to hosts of other destinations. The module
                 // needs to have these as well.
                 let destination = simulation.list.iter().find(|e| e.name == *host).map(|e| e.destination);
@@ -433,7 +440,7 @@
                     }));
                     continue;
                 }
-                Event::Request { destination, .. } | Event::Restored { destination, .. }
+                Event::Request { destination, .. } | Event::RequestRestored { destination, .. }
                     if self.active.insert(*destination) =>
                 {
                     filtered.push(Event::ListUpdate(ListUpdate::Cached(self.delta(simulation))));
@@ -451,7 +458,7 @@
             let may_evict =
                 self.scope == ListScope::ActiveWithEviction && !self.pinned.contains(&destination);
             if may_evict && self.rng.u32(..4) == 0 {
-                if let Some(Ok(names)) = module.forget(simulation.now, destination) {
+                if let Some(Ok(names)) = module.forget_destination(simulation.now, destination) {
                     names.iter().for_each(|name| drop(self.hosts.remove(&**name)));
                     self.active.remove(&destination);
                     self.evictions += 1;
@@ -508,11 +515,11 @@
             assert!(until <= simulation.now, "{place}, whose Retry-After ends at {until}");
         }
         for event in &events {
-            if let Event::Ended { id, attempt, outcome: Outcome::Full, wait_ms, .. } = event {
+            if let Event::Ended { id, attempt, outcome: Outcome::Full, retry_after_ms, .. } = event {
                 let sent_to = sends.get(&(*id, *attempt)).and_then(|name| view.hosts.get(name));
                 if let Some(host) = sent_to {
                     let until = retry_afters.entry(group(&simulation.settings, host)).or_default();
-                    *until = until.max(simulation.now + wait_ms);
+                    *until = until.max(simulation.now + retry_after_ms);
                 }
             }
         }
--- a/crates/membership/src/list.rs
+++ b/crates/membership/src/list.rs
@@ -70,17 +70,17 @@
 
 impl ListNames {
     /// Returns the index of a kind. An unknown kind counts as the first one.
-    pub fn kind(&self, name: &str) -> usize {
+    pub fn kind_index(&self, name: &str) -> usize {
         index_of(&self.kinds, name)
     }
 
     /// Converts an entry for the decision module. An unknown zone or kind counts as the first one.
-    pub fn endpoint(&self, entry: &Entry) -> Endpoint {
+    pub fn to_endpoint(&self, entry: &Entry) -> Endpoint {
         Endpoint {
             name: entry.name.clone(),
             destination: entry.group,
             zone: index_of(&self.zones, &entry.zone) as u32,
-            kind: self.kind(&entry.kind),
+            kind: self.kind_index(&entry.kind),
             weight: entry.weight,
             status: match entry.status {
                 Status::Active => EndpointStatus::Active,
@@ -91,8 +91,8 @@
     }
 
     /// Converts a list for the decision module.
-    pub fn discovery(&self, list: &List) -> ListUpdate {
-        let endpoints = list.endpoints.iter().map(|entry| self.endpoint(entry)).collect();
+    pub fn to_list_update(&self, list: &List) -> ListUpdate {
+        let endpoints = list.endpoints.iter().map(|entry| self.to_endpoint(entry)).collect();
         match list.snapshot {
             true => ListUpdate::Full(endpoints),
             false => ListUpdate::Delta(endpoints),
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -28,7 +28,7 @@
     }
 
     /// Returns the number of active destinations.
-    pub fn used(&self) -> usize {
+    pub fn active_destinations(&self) -> usize {
         self.active.len()
     }
 
@@ -109,7 +109,7 @@
     /// Evicts the least recently used destinations until the active set is within its capacity. `forget`
     /// returns whether the module and the carrier have dropped the destination, or `None` if they don't know
     /// it; such a destination is evicted unless it is listed, as they may not have learnt of it yet.
-    pub fn shrink(&mut self, mut forget: impl FnMut(u64) -> Option<bool>) {
+    pub fn evict_surplus(&mut self, mut forget: impl FnMut(u64) -> Option<bool>) {
         let catalog = self.members.catalog();
         self.active.evict_surplus(|destination| {
             forget(destination).unwrap_or_else(|| !catalog.has_hosts(destination))
@@ -117,7 +117,7 @@
     }
 
     /// Returns whether the active set exceeds its capacity.
-    pub fn is_crowded(&self) -> bool {
+    pub fn is_over_capacity(&self) -> bool {
         self.active.is_over_capacity()
     }
 }
--- a/crates/runtime/src/serve.rs
+++ b/crates/runtime/src/serve.rs
@@ -27,7 +27,7 @@
     Stop(ShutdownTimes),
     CancelAttempt(u64, u32),
     Release(oneshot::Sender<Vec<(u64, u32)>>),
-    Retake,
+    Resume,
     HandOver(UnboundedSender<ForwardedEnd<C::Response>>),
 }
 
@@ -88,7 +88,7 @@
     }
 
     /// Passes on a list update.
-    pub fn list(&self, list: C::List) -> bool {
+    pub fn apply_list_update(&self, list: C::List) -> bool {
         self.put(QueuedEvent::List(list))
     }
 
@@ -110,7 +110,7 @@
 
     /// Pauses the engine for a takeover by another process, once all events that are already queued are
     /// processed. Returns the attempts in flight, as message and attempt number. Must be followed by
-    /// [`Handle::pass`] or [`Handle::retake`].
+    /// [`Handle::hand_over`] or [`Handle::resume`].
     pub async fn release(&self) -> Option<Vec<(u64, u32)>> {
         let (sender, receiver) = oneshot::channel();
         self.put(QueuedEvent::Release(sender));
@@ -118,13 +118,13 @@
     }
 
     /// Resumes the engine when the takeover has failed.
-    pub fn retake(&self) -> bool {
-        self.put(QueuedEvent::Retake)
+    pub fn resume(&self) -> bool {
+        self.put(QueuedEvent::Resume)
     }
 
     /// Hands over to another process, which is sent the ends of the attempts that are still in flight. The
     /// runtime ends with the last of them.
-    pub fn pass(&self, end_sender: UnboundedSender<ForwardedEnd<C::Response>>) -> bool {
+    pub fn hand_over(&self, end_sender: UnboundedSender<ForwardedEnd<C::Response>>) -> bool {
         self.put(QueuedEvent::HandOver(end_sender))
     }
 
@@ -142,7 +142,7 @@
     /// No attempt is begun that may still be in flight at this time.
     pub calls_end_ms: f64,
     /// Minimum duration, even if no message is open, as senders may not know of the shutdown yet.
-    pub linger_ms: f64,
+    pub grace_ms: f64,
     /// Maximum duration.
     pub exit_ms: f64,
 }
@@ -197,7 +197,7 @@
 
     /// Sets the function that cancels an attempt which an earlier process still makes, by message and attempt
     /// number.
-    pub fn cancel_elsewhere(&mut self, cancel: impl Fn(u64, u32) + 'static) {
+    pub fn cancel_in_predecessor(&mut self, cancel: impl Fn(u64, u32) + 'static) {
         self.cancel_in_predecessor = Some(Box::new(cancel));
     }
 
@@ -247,7 +247,7 @@
         }
         let Some((started_at, times)) = self.stopping else { return false };
         let elapsed_ms = self.clock.now() - started_at;
-        (self.engine.borrow().is_idle() && elapsed_ms >= times.linger_ms) || elapsed_ms >= times.exit_ms
+        (self.engine.borrow().is_idle() && elapsed_ms >= times.grace_ms) || elapsed_ms >= times.exit_ms
     }
 
     fn process(&mut self, batch: Vec<QueuedEvent<T, C>>) {
@@ -255,7 +255,7 @@
         let mut batch = batch.into_iter();
         while let Some(event) = batch.next() {
             let changes_ownership =
-                matches!(event, QueuedEvent::Release(_) | QueuedEvent::Retake | QueuedEvent::HandOver(_));
+                matches!(event, QueuedEvent::Release(_) | QueuedEvent::Resume | QueuedEvent::HandOver(_));
             if let (Ownership::Released { deferred, .. }, false) = (&mut self.ownership, changes_ownership) {
                 deferred.push(event);
                 continue;
@@ -289,7 +289,7 @@
                     let _receiver_gone = in_flight_sender.send(in_flight);
                     return;
                 }
-                QueuedEvent::Retake => {
+                QueuedEvent::Resume => {
                     if let Ownership::Released { deferred, .. } =
                         std::mem::replace(&mut self.ownership, Ownership::ThisProcess)
                     {
@@ -317,7 +317,7 @@
     /// Passes an input to the engine, or to the process that has taken over its message.
     fn route(&mut self, input: Input<T, C::Response>, inputs: &mut Vec<Input<T, C::Response>>) {
         match input {
-            Input::Submitted(_, ticket) if !self.front.waits(&ticket) => {}
+            Input::Submitted(_, ticket) if !self.front.is_waiting(&ticket) => {}
             Input::Submitted(message, ticket) if self.is_owner() => {
                 if let Some(list) = self.carrier.activate(message.destination) {
                     inputs.push(Input::ListUpdate(self.carrier.apply_list(list)));
@@ -336,7 +336,7 @@
             }
             _ if !self.is_owner() => {}
             Input::Withdrawn { id } => {
-                self.front.withdrawn(id);
+                self.front.on_withdrawn(id);
                 inputs.push(Input::Withdrawn { id });
             }
             input => inputs.push(input),
@@ -360,7 +360,8 @@
         self.engine.borrow_mut().handle(self.clock.now(), inputs, &mut outputs);
         self.perform(outputs);
         let now = self.clock.now();
-        self.carrier.forget(&mut |destination| self.engine.borrow_mut().forget(now, destination));
+        self.carrier
+            .evict_unused(&mut |destination| self.engine.borrow_mut().forget_destination(now, destination));
     }
 
     fn cancel(&mut self, id: u64, attempt: u32) {
--- a/crates/runtime/src/traits.rs
+++ b/crates/runtime/src/traits.rs
@@ -13,12 +13,12 @@
 
     /// Returns whether the sender of a message that is not yet accepted still waits for an answer. If not,
     /// the message is dropped.
-    fn waits(&self, _ticket: &T) -> bool {
+    fn is_waiting(&self, _ticket: &T) -> bool {
         true
     }
 
     /// The sender no longer waits for this message, so it gets no final answer.
-    fn withdrawn(&mut self, _id: u64) {}
+    fn on_withdrawn(&mut self, _id: u64) {}
 }
 
 /// Permission to send an attempt, to be requested before its first byte.
@@ -60,8 +60,8 @@
     }
 
     /// Evicts the least recently used destinations if there are too many, as far as `forget_in_engine` has
-    /// removed them too (see [`mulleinslip_engine::Engine::forget`]). Called between two rounds.
-    fn forget(&self, _forget_in_engine: &mut dyn FnMut(u64) -> Option<bool>) {}
+    /// removed them too (see [`mulleinslip_engine::Engine::forget_destination`]). Called between two rounds.
+    fn evict_unused(&self, _forget_in_engine: &mut dyn FnMut(u64) -> Option<bool>) {}
 
     /// Makes one attempt, within [`Attempt::wait_ms`]. If the future is dropped or panics, the attempt counts
     /// as one that may have run.
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -55,7 +55,7 @@
         max_attempts: 6,
         classes: vec![class],
         value_decay: ValueDecay::Halving,
-        batch: vec![1],
+        batch_by_kind: vec![1],
         own_limits: vec![false],
         may_cancel: true,
         retry_after: true,
@@ -96,7 +96,7 @@
 
     /// Destinations in use.
     pub fn used(&self) -> usize {
-        self.view.borrow().used()
+        self.view.borrow().active_destinations()
     }
 
     /// What the catalog says of its own size, in bytes.
@@ -183,6 +183,7 @@
             self.engine.handle(now, [Input::AnswersConfirmed(confirmed)], &mut more);
         }
         let engine = RefCell::new(&mut self.engine);
-        self.carrier.forget(&mut |destination| engine.borrow_mut().forget(now, destination));
+        self.carrier
+            .evict_unused(&mut |destination| engine.borrow_mut().forget_destination(now, destination));
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,11 +2,11 @@
 //! decision module. Units are those of the platform: durations in milliseconds, rates in calls per second.
 #![warn(missing_docs)]
 
-pub mod words;
+pub mod keywords;
 
+use keywords::{DEDUP_SCOPES, DISCOVERY, EFFECTS, VALUE_DECAYS, WEIGHTS};
 use linenhall::{Class, Settings};
 use serde::Deserialize;
-use words::{DEDUP_SCOPES, DISCOVERY, EFFECTS, VALUE_DECAYS, WEIGHTS};
 
 /// The parsed and validated settings.
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
     pub discovery_is_polled: bool,
 }
 
-/// The settings as written in the configuration file. [`FileSettings::read`] validates them.
+/// The settings as written in the configuration file. [`FileSettings::parse`] validates them.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct FileSettings {
@@ -161,7 +161,7 @@
 
 impl FileSettings {
     /// Validates the settings. The error is one line that names the setting.
-    pub fn read(&self) -> Result<ParsedSettings, String> {
+    pub fn parse(&self) -> Result<ParsedSettings, String> {
         let connect_timeout_ms = self.limits.connect_timeout_ms;
         if !(connect_timeout_ms > 0.0 && connect_timeout_ms < 1e9) {
             return Err(format!("setting Limits.ConnectTimeoutMs cannot be read: {connect_timeout_ms}"));
@@ -198,7 +198,7 @@
         over_share_value: file.over_share_worth.unwrap_or(1.0),
         value_decay: parse_keyword("Domain.Fades", file.domain.fades.as_deref(), &VALUE_DECAYS)?,
         // Over HTTP a call carries one message, whatever batch size the simulator uses.
-        batch: file.domain.batch_by_kind.iter().map(|_| 1).collect(),
+        batch_by_kind: file.domain.batch_by_kind.iter().map(|_| 1).collect(),
         own_limits: file.domain.own_limits.clone(),
         route_fee: file.domain.route_fee.clone(),
         cross_zone_cost: file.costs.cross_zone,
--- a/crates/takeover/src/message.rs
+++ b/crates/takeover/src/message.rs
@@ -62,7 +62,7 @@
     /// The new process serves from now on.
     Go,
     /// A client's connection. Carries its descriptor.
-    Client {
+    ClientConnection {
         /// The bytes that were received and belong to no answered request.
         unread: Vec<u8>,
     },
@@ -81,7 +81,7 @@
         part: String,
     },
     /// An idle connection to a host. Carries its descriptor. From version 2 on, after [`ToNew::Go`].
-    Host {
+    IdleConnection {
         /// The host's name in the list.
         endpoint: String,
         /// Time for which the connection has been idle, in milliseconds.
@@ -107,7 +107,7 @@
     pub answered: bool,
     /// Retry-After time that the host gave, in milliseconds. A [`ToNew::RetryAfters`] frame precedes this
     /// one.
-    pub wait_ms: f64,
+    pub retry_after_ms: f64,
     /// The load report; empty if there is none.
     pub report: Vec<f64>,
 }
--- a/crates/takeover/src/protocol.rs
+++ b/crates/takeover/src/protocol.rs
@@ -241,7 +241,7 @@
     /// connection that is closed before Go, make it give up.
     #[test]
     fn new_process_gives_up_on_frames_out_of_order() {
-        for early in [ToNew::Go, ToNew::Client { unread: vec![] }, ToNew::Rejected("x".into())] {
+        for early in [ToNew::Go, ToNew::ClientConnection { unread: vec![] }, ToNew::Rejected("x".into())] {
             assert!(matches!(NewProcess::default().on(Some(early)), NewStep::GiveUp(_)));
         }
         let mut new = NewProcess::default();
--- a/crates/takeover/tests/recorded.rs
+++ b/crates/takeover/tests/recorded.rs
@@ -20,8 +20,8 @@
     let list = ToNew::List { agent: "10.0.0.1:8500".into(), part: "[1]".into() };
     let ended = |outcome| {
         let (id, attempt, took_ms, settled, answered) = (301, 6, 21.5, true, false);
-        let (wait_ms, report) = (1500.25, vec![0.5, 50.75]);
-        ToNew::Ended(AttemptEnd { id, attempt, took_ms, outcome, settled, answered, wait_ms, report })
+        let (retry_after_ms, report) = (1500.25, vec![0.5, 50.75]);
+        ToNew::Ended(AttemptEnd { id, attempt, took_ms, outcome, settled, answered, retry_after_ms, report })
     };
     vec![
         ("ToNew.No", ToNew::Rejected("not now".into())),
@@ -29,7 +29,7 @@
         ("ToNew.Waits", ToNew::RetryAfters(vec![(41, "h1".into(), 250.5), (42, String::new(), 9.75)])),
         ("ToNew.Ready", ToNew::Ready { drained: true }),
         ("ToNew.Go", ToNew::Go),
-        ("ToNew.Client", ToNew::Client { unread: b"POST /\x00\xff".to_vec() }),
+        ("ToNew.Client", ToNew::ClientConnection { unread: b"POST /\x00\xff".to_vec() }),
         ("ToNew.Ended.Delivered", ended(Outcome::Delivered)),
         ("ToNew.Ended.Error", ended(Outcome::Error)),
         ("ToNew.Ended.Full", ended(Outcome::Full)),
@@ -41,7 +41,7 @@
         ("ToNew.Ended.NotSent", ended(Outcome::NotSent)),
         ("ToNew.Learnt", ToNew::Learnt("{}".into())),
         ("ToNew.List", list),
-        ("ToNew.Host", ToNew::Host { endpoint: "h2".into(), idle_ms: 777.5 }),
+        ("ToNew.Host", ToNew::IdleConnection { endpoint: "h2".into(), idle_ms: 777.5 }),
     ]
 }
 
--- a/crates/tower/src/builder.rs
+++ b/crates/tower/src/builder.rs
@@ -186,7 +186,7 @@
             Some((folder, most)) => {
                 let opened = Journal::open(folder.clone(), most);
                 let (journal, left) = opened.map_err(|e| StartError::Folder(folder, e))?;
-                left.notes.iter().for_each(|note| (self.log)(note));
+                left.damage_notes.iter().for_each(|note| (self.log)(note));
                 self.run(connect, journal, left)
             }
         }
@@ -239,7 +239,7 @@
                 relay.restore(vec![News::Whole(hosts)], left, &Predecessor::default());
                 if let Some((agent, names)) = discovery {
                     let (_stays, place) = watch::channel(agent);
-                    let told = move |_, list: List| news.list(News::of(&list, &names));
+                    let told = move |_, list: List| news.apply_list_update(News::of(&list, &names));
                     tokio::task::spawn_local(Discovery::new(agent, PollCost::Free).watch(None, place, told));
                 }
                 relay.run().await;
@@ -254,7 +254,7 @@
         }
         let (news, stops) = (handle.clone(), handle);
         let running = Running {
-            endpoints: Endpoints(Arc::new(move |n| news.list(n))),
+            endpoints: Endpoints(Arc::new(move |n| news.apply_list_update(n))),
             stop: Box::new(move |times| _ = stops.stop(times)),
             thread: Some(thread),
         };
@@ -291,7 +291,7 @@
         let (start, ms) = (Instant::now(), within.as_secs_f64().min(1e6) * 1000.0);
         // A little before the deadline, so that an attempt's end is still recorded.
         let calls_end_ms = (ms - 100.0).max(ms * 0.9);
-        (self.stop)(ShutdownTimes { calls_end_ms, linger_ms: 0.0, exit_ms: ms });
+        (self.stop)(ShutdownTimes { calls_end_ms, grace_ms: 0.0, exit_ms: ms });
         let ended = self.thread.take().is_none_or(|t| t.join().is_ok());
         ended && start.elapsed() < within
     }
@@ -300,7 +300,7 @@
 impl Drop for Running {
     fn drop(&mut self) {
         if let Some(thread) = self.thread.take() {
-            (self.stop)(ShutdownTimes { calls_end_ms: 0.0, linger_ms: 0.0, exit_ms: 0.0 });
+            (self.stop)(ShutdownTimes { calls_end_ms: 0.0, grace_ms: 0.0, exit_ms: 0.0 });
             // The folder is free when this returns. It takes one turn of the engine's loop.
             let _panicked = thread.join();
         }
--- a/crates/tower/src/carrier.rs
+++ b/crates/tower/src/carrier.rs
@@ -66,7 +66,7 @@
     /// What the platform's discovery says. Its hosts speak plain HTTP.
     pub fn of(list: &List, names: &ListNames) -> News {
         let host = |e: &Entry| {
-            let known = names.endpoint(e);
+            let known = names.to_endpoint(e);
             Host {
                 name: known.name,
                 scheme: "http".into(),
@@ -166,8 +166,8 @@
         };
         let answer = Response::from_parts(head, body);
         let meaning = self.protocol.read(&answer);
-        if meaning.wait_ms > 0.0 {
-            let (now, wait) = (Instant::now(), Duration::from_secs_f64(meaning.wait_ms / 1000.0));
+        if meaning.retry_after_ms > 0.0 {
+            let (now, wait) = (Instant::now(), Duration::from_secs_f64(meaning.retry_after_ms / 1000.0));
             let mut waits = self.waits.borrow_mut();
             waits.retain(|_, until| *until > now);
             let until = waits.entry(self.group(&host)).or_insert(now);
@@ -176,7 +176,7 @@
         AttemptEnd {
             outcome: meaning.outcome,
             settled: meaning.settled,
-            wait_ms: meaning.wait_ms,
+            retry_after_ms: meaning.retry_after_ms,
             report: Vec::new(),
             response: Some(answer),
         }
--- a/crates/tower/src/front.rs
+++ b/crates/tower/src/front.rs
@@ -164,7 +164,7 @@
                     FinalAnswer::EndedByPartner(None) => {
                         (Err(Error::Failed { may_have_run: false, last: None }), false)
                     }
-                    FinalAnswer::Refused { retry_after_ms, may_have_run, last } => (
+                    FinalAnswer::Refused { retry_after_ms, may_have_run, last_response: last } => (
                         Err(Error::Refused {
                             retry_after: span(retry_after_ms),
                             may_have_run,
@@ -172,7 +172,7 @@
                         }),
                         true,
                     ),
-                    FinalAnswer::Failed { may_have_run, last } => {
+                    FinalAnswer::Failed { may_have_run, last_response: last } => {
                         (Err(Error::Failed { may_have_run, last: last.map(Box::new) }), true)
                     }
                 };
@@ -185,11 +185,11 @@
         }
     }
 
-    fn waits(&self, ticket: &Ticket) -> bool {
+    fn is_waiting(&self, ticket: &Ticket) -> bool {
         !ticket.end.is_closed()
     }
 
-    fn withdrawn(&mut self, id: u64) {
+    fn on_withdrawn(&mut self, id: u64) {
         self.waiting.remove(&id);
         // They came between the first caller's going and this. The message is gone, and may have run.
         for ticket in self.also.remove(&id).unwrap_or_default() {
@@ -221,7 +221,7 @@
         let (second, joined, mut ended) = ticket(&waiting);
         front.reply(FrontReply::Duplicate { id: 1, ticket: second });
         assert!(joined.taken() && joined.leave().is_none());
-        front.withdrawn(1);
+        front.on_withdrawn(1);
         assert!(matches!(ended.try_recv(), Ok(Err(e)) if e.may_have_run()));
         // It goes after: the message stays.
         let (first, place, _ended) = ticket(&waiting);
--- a/crates/tower/src/protocol.rs
+++ b/crates/tower/src/protocol.rs
@@ -30,10 +30,11 @@
 }
 
 const fn plain(outcome: Outcome) -> ParsedOutcome {
-    ParsedOutcome { outcome, settled: false, wait_ms: 0.0 }
+    ParsedOutcome { outcome, settled: false, retry_after_ms: 0.0 }
 }
 
-const DELIVERED: ParsedOutcome = ParsedOutcome { outcome: Outcome::Delivered, settled: true, wait_ms: 0.0 };
+const DELIVERED: ParsedOutcome =
+    ParsedOutcome { outcome: Outcome::Delivered, settled: true, retry_after_ms: 0.0 };
 /// Also a word that says no is an answer, and shows that the partner is well.
 const SAID: ParsedOutcome = DELIVERED;
 
@@ -108,7 +109,7 @@
 }
 
 fn full(wait_ms: f64) -> ParsedOutcome {
-    ParsedOutcome { outcome: Outcome::Full, settled: false, wait_ms: wait_ms.clamp(0.0, MOST_WAIT_MS) }
+    ParsedOutcome { outcome: Outcome::Full, settled: false, retry_after_ms: wait_ms.clamp(0.0, MOST_WAIT_MS) }
 }
 
 fn grpc(answer: &Response<Collected>) -> ParsedOutcome {
@@ -212,7 +213,7 @@
         assert_eq!(read(Protocol::Platform, 504, None), plain(Outcome::NotSent));
         assert_eq!(
             read(Protocol::Platform, 410, None),
-            ParsedOutcome { outcome: Outcome::NotSent, settled: true, wait_ms: 0.0 }
+            ParsedOutcome { outcome: Outcome::NotSent, settled: true, retry_after_ms: 0.0 }
         );
         assert_eq!(read(Protocol::Platform, 201, None), plain(Outcome::Error));
     }
--- a/crates/tower/tests/common/mod.rs
+++ b/crates/tower/tests/common/mod.rs
@@ -38,7 +38,7 @@
         ],
         tenant_rates: vec![1e6],
         over_share_value: 1.0,
-        batch: vec![1],
+        batch_by_kind: vec![1],
         own_limits: vec![false],
         may_cancel: true,
         conn_idle_ms: 3000.0,
--- a/crates/traffic/src/format.rs
+++ b/crates/traffic/src/format.rs
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     /// Returns errors of the underlying writer.
-    pub fn begin(mut output: W) -> io::Result<Writer<W>> {
+    pub fn new(mut output: W) -> io::Result<Writer<W>> {
         let header = Header { format: FORMAT.into(), version: VERSION };
         serde_json::to_writer(&mut output, &header)?;
         output.write_all(b"\n")?;
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     /// Returns errors of the underlying writer.
-    pub fn add(&mut self, message: &Message) -> io::Result<()> {
+    pub fn write(&mut self, message: &Message) -> io::Result<()> {
         let mut line = serde_json::to_vec(message)?;
         line.push(b'\n');
         self.0.write_all(&line)
@@ -121,7 +121,7 @@
     ///
     /// # Errors
     /// Returns a [`ReadError`] if the first line can't be read or is not that of a recording of this version.
-    pub fn begin(input: R) -> Result<Reader<R>, ReadError> {
+    pub fn new(input: R) -> Result<Reader<R>, ReadError> {
         let mut reader = Reader { input, line: 0, last_us: 0 };
         let header = reader.read_line().transpose()?.ok_or(ReadError::Header)?;
         let header: Header = serde_json::from_slice(&header).map_err(|_| ReadError::Header)?;
@@ -180,8 +180,8 @@
     }
 
     fn recording() -> Vec<u8> {
-        let mut writer = Writer::begin(Vec::new()).unwrap();
-        (0..3).for_each(|n| writer.add(&message(n)).unwrap());
+        let mut writer = Writer::new(Vec::new()).unwrap();
+        (0..3).for_each(|n| writer.write(&message(n)).unwrap());
         writer.finish().unwrap()
     }
 
@@ -193,7 +193,7 @@
         let line_ends: Vec<usize> = (0..bytes.len()).filter(|at| bytes[*at] == b'\n').collect();
         for cut in 0..=bytes.len() {
             let complete = line_ends.iter().filter(|at| **at < cut).count();
-            match Reader::begin(&bytes[..cut]) {
+            match Reader::new(&bytes[..cut]) {
                 Err(ReadError::Header) => assert_eq!(complete, 0),
                 Err(e) => panic!("{e}"),
                 Ok(reader) => {
@@ -214,7 +214,7 @@
         let text = String::from_utf8(recording()).unwrap();
         let error = |from: &str, to: &str| {
             let text = text.replacen(from, to, 1);
-            let reader = Reader::begin(text.as_bytes());
+            let reader = Reader::new(text.as_bytes());
             reader.and_then(|r| r.collect::<Result<Vec<_>, _>>()).unwrap_err().to_string()
         };
         assert!(error("\"version\":1", "\"version\":2").contains("line 1"));
--- a/crates/traffic/src/record.rs
+++ b/crates/traffic/src/record.rs
@@ -31,7 +31,7 @@
     pub fn start(relay: SocketAddr, output: W) -> std::io::Result<Recorder<W>> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let state = State { writer: Some(Writer::begin(output)?), start: Instant::now(), last_us: 0 };
+        let state = State { writer: Some(Writer::new(output)?), start: Instant::now(), last_us: 0 };
         let state = Arc::new(Mutex::new(state));
         let thread_state = state.clone();
         std::thread::spawn(move || {
@@ -68,7 +68,7 @@
             state.last_us = at_us;
             let message = message(&request, at_us);
             if let (Some(message), Some(writer)) = (message, state.writer.as_mut()) {
-                if let Err(error) = writer.add(&message) {
+                if let Err(error) = writer.write(&message) {
                     eprintln!("recorder: writing failed: {error}; the recording ends here");
                     state.writer = None;
                 }
