--- a/crates/tower/src/body.rs
+++ b/crates/tower/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies held whole.
+//! Bodies that are read completely into memory.
 
 use bytes::Bytes;
 use http::HeaderMap;
@@ -7,7 +7,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// A body that came whole, and its trailers.
+/// A complete body with its trailers.
 #[derive(Clone, Debug, Default)]
 pub struct Collected {
     data: Bytes,
@@ -15,17 +15,17 @@
 }
 
 impl Collected {
-    /// A body of these bytes.
+    /// Returns a body of the given bytes and trailers.
     pub fn new(data: Bytes, trailers: Option<HeaderMap>) -> Collected {
         Collected { data, trailers }
     }
 
-    /// Its bytes.
+    /// Returns the bytes of the body.
     pub fn data(&self) -> &Bytes {
         &self.data
     }
 
-    /// Its trailers, if there are some.
+    /// Returns the trailers, if any.
     pub fn trailers(&self) -> Option<&HeaderMap> {
         self.trailers.as_ref()
     }
@@ -41,7 +41,7 @@
         if !self.data.is_empty() {
             return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut self.data)))));
         }
-        Poll::Ready(self.trailers.take().map(|t| Ok(Frame::trailers(t))))
+        Poll::Ready(self.trailers.take().map(|trailers| Ok(Frame::trailers(trailers))))
     }
 
     fn is_end_stream(&self) -> bool {
@@ -53,49 +53,49 @@
     }
 }
 
-/// Why a body is not there.
+/// Why a body could not be read completely.
 #[derive(Debug, PartialEq)]
-pub enum NotWhole {
-    /// It is longer than it may be.
+pub enum BodyError {
+    /// The body is longer than the limit.
     TooLong,
-    /// It broke off.
+    /// The body ended with an error.
     Broken,
 }
 
-/// Reads a body whole, `most` bytes of it at most. Needs no runtime of its own.
-pub async fn collect<B>(body: B, most: usize) -> Result<Collected, NotWhole>
+/// Reads a complete body of up to `max_bytes` bytes. Needs no async runtime.
+pub async fn collect<B>(body: B, max_bytes: usize) -> Result<Collected, BodyError>
 where
     B: Body,
 {
     let mut body = std::pin::pin!(body);
-    if body.size_hint().lower() > most as u64 {
-        return Err(NotWhole::TooLong);
+    if body.size_hint().lower() > max_bytes as u64 {
+        return Err(BodyError::TooLong);
     }
-    let (mut first, mut all, mut trailers) = (None::<Bytes>, Vec::new(), None::<HeaderMap>);
+    let (mut first, mut rest, mut trailers) = (None::<Bytes>, Vec::new(), None::<HeaderMap>);
     while let Some(frame) = std::future::poll_fn(|cx| body.as_mut().poll_frame(cx)).await {
-        match frame.map_err(|_| NotWhole::Broken)?.into_data() {
+        match frame.map_err(|_| BodyError::Broken)?.into_data() {
             Ok(mut data) => {
                 use bytes::Buf;
                 let data = data.copy_to_bytes(data.remaining());
-                let had = first.as_ref().map_or(0, Bytes::len) + all.len();
-                if had + data.len() > most {
-                    return Err(NotWhole::TooLong);
+                let received = first.as_ref().map_or(0, Bytes::len) + rest.len();
+                if received + data.len() > max_bytes {
+                    return Err(BodyError::TooLong);
                 }
-                // One piece, as almost always, is kept as it is.
+                // A body nearly always has one data frame, which is kept without a copy.
                 match first {
                     None => first = Some(data),
-                    Some(_) => all.extend_from_slice(&data),
+                    Some(_) => rest.extend_from_slice(&data),
                 }
             }
             Err(frame) => {
-                if let Ok(more) = frame.into_trailers() {
-                    trailers.get_or_insert_with(HeaderMap::new).extend(more);
+                if let Ok(fields) = frame.into_trailers() {
+                    trailers.get_or_insert_with(HeaderMap::new).extend(fields);
                 }
             }
         }
     }
     let data = match first {
-        Some(first) if !all.is_empty() => [&first[..], &all[..]].concat().into(),
+        Some(first) if !rest.is_empty() => [&first[..], &rest[..]].concat().into(),
         first => first.unwrap_or_default(),
     };
     Ok(Collected { data, trailers })
--- a/crates/tower/src/carrier.rs
+++ b/crates/tower/src/carrier.rs
@@ -1,6 +1,6 @@
-//! Attempts, made by the caller's own services.
+//! The carrier of the plug-in: makes the attempts with services that the program supplies.
 
-use crate::body::{collect, Collected, NotWhole};
+use crate::body::{collect, BodyError, Collected};
 use crate::host::Host;
 use crate::protocol::Protocol;
 use crate::stored;
@@ -17,20 +17,21 @@
 use std::time::{Duration, Instant};
 use tower_service::Service;
 
-/// Makes a service for a host, on the engine's thread, when the first attempt goes there. Closures are such.
+/// Makes the service for a host, on the engine's thread, before the first attempt to that host. Closures
+/// implement this trait.
 ///
-/// An attempt waits until its service is ready and only then counts as begun. So a service that connects before it
-/// is ready lets a refused connection, or a time-out while connecting, be known for an attempt that never ran.
+/// An attempt waits until its service is ready and counts as begun only then. If the service connects before
+/// it is ready, an attempt whose connection is refused or times out is therefore known not to have run.
 pub trait Connect: Send + 'static {
-    /// The service; each attempt uses a clone.
+    /// Type of the service. Each attempt uses a clone.
     type Service: Service<Request<Collected>, Response = Response<Self::Body>, Error = Self::Error>
         + Clone
         + 'static;
-    /// What its answers carry.
+    /// Type of the response bodies.
     type Body: Body + 'static;
-    /// How it fails.
+    /// Error type of the service.
     type Error: Into<Box<dyn Error + Send + Sync>> + 'static;
-    /// Makes one.
+    /// Returns a service that sends requests to the host.
     fn connect(&self, host: &Host) -> Self::Service;
 }
 
@@ -49,65 +50,69 @@
     }
 }
 
-/// One service for all hosts, which reads from the request's URI where to go, as HTTP clients with a pool do.
+/// Uses one service for all hosts. The service must read the host from the request's URI, as HTTP clients
+/// with a connection pool do.
 pub fn shared<S: Clone>(service: S) -> impl Fn(&Host) -> S {
     move |_| service.clone()
 }
 
-/// News of the hosts.
-pub enum News {
-    /// All of them; what is missing is gone.
-    Whole(Vec<Host>),
-    /// Those that changed.
-    Changes(Vec<Host>),
+/// Update of the list of hosts.
+pub enum HostUpdate {
+    /// The full list: hosts that are not in it are removed.
+    Full(Vec<Host>),
+    /// Only the hosts that have changed.
+    Delta(Vec<Host>),
 }
 
-impl News {
-    /// What the platform's discovery says. Its hosts speak plain HTTP.
-    pub fn of(list: &List, names: &ListNames) -> News {
-        let host = |e: &Entry| {
-            let known = names.endpoint(e);
+impl HostUpdate {
+    /// Converts a list of the platform's discovery. Its hosts use plain HTTP.
+    pub fn from_list(list: &List, names: &ListNames) -> HostUpdate {
+        let host = |entry: &Entry| {
+            let endpoint = names.endpoint(entry);
             Host {
-                name: known.name,
+                name: endpoint.name,
                 scheme: "http".into(),
-                authority: e.address.to_string(),
-                destination: known.destination,
-                zone: known.zone,
-                kind: known.kind,
-                weight: known.weight,
-                state: known.status,
+                authority: entry.address.to_string(),
+                destination: endpoint.destination,
+                zone: endpoint.zone,
+                kind: endpoint.kind,
+                weight: endpoint.weight,
+                state: endpoint.status,
             }
         };
         let hosts = list.endpoints.iter().map(host).collect();
         match list.snapshot {
-            true => News::Whole(hosts),
-            false => News::Changes(hosts),
+            true => HostUpdate::Full(hosts),
+            false => HostUpdate::Delta(hosts),
         }
     }
 }
 
-struct Known<S> {
+struct KnownHost<S> {
     host: Host,
     service: Option<S>,
 }
 
-/// What shares a told wait: a destination, or one host where hosts are routes apart.
+/// Key of what shares a Retry-After: a destination, or a single host where each host has its own limit.
 type EndpointGroupKey = (u64, Option<String>);
 
+/// Makes attempts with the services of a [`Connect`].
 pub struct TowerCarrier<M: Connect> {
     connect: M,
     protocol: Protocol,
-    most_answer: usize,
+    max_response_bytes: usize,
     own_limits: Vec<bool>,
-    hosts: RefCell<HashMap<String, Known<M::Service>>>,
-    /// Told waits; one that is over goes when the next is told.
-    waits: RefCell<HashMap<EndpointGroupKey, Instant>>,
+    hosts: RefCell<HashMap<String, KnownHost<M::Service>>>,
+    /// End of each Retry-After received. Entries that have expired are removed when the next one is received.
+    retry_afters: RefCell<HashMap<EndpointGroupKey, Instant>>,
 }
 
 impl<M: Connect> TowerCarrier<M> {
-    pub fn new(connect: M, protocol: Protocol, most_answer: usize, own_limits: Vec<bool>) -> TowerCarrier<M> {
-        let (hosts, waits) = (RefCell::default(), RefCell::default());
-        TowerCarrier { connect, protocol, most_answer, own_limits, hosts, waits }
+    pub fn new(
+        connect: M, protocol: Protocol, max_response_bytes: usize, own_limits: Vec<bool>,
+    ) -> TowerCarrier<M> {
+        let (hosts, retry_afters) = (RefCell::default(), RefCell::default());
+        TowerCarrier { connect, protocol, max_response_bytes, own_limits, hosts, retry_afters }
     }
 
     fn group(&self, host: &Host) -> EndpointGroupKey {
@@ -115,15 +120,16 @@
         (host.destination, own_limits.then(|| host.name.clone()))
     }
 
-    /// Whether an attempt for this destination may be sent there now.
+    /// Returns whether an attempt for this destination may be sent to the endpoint now.
     fn may_send(&self, endpoint: &str, destination: u64) -> bool {
         let hosts = self.hosts.borrow();
-        let Some(host) = hosts.get(endpoint).map(|k| &k.host) else { return false };
-        let here = host.state == EndpointStatus::Active && host.destination == destination;
-        here && self.waits.borrow().get(&self.group(host)).is_none_or(|until| *until <= Instant::now())
+        let Some(host) = hosts.get(endpoint).map(|known| &known.host) else { return false };
+        let accepts_attempts = host.state == EndpointStatus::Active && host.destination == destination;
+        accepts_attempts
+            && self.retry_afters.borrow().get(&self.group(host)).is_none_or(|until| *until <= Instant::now())
     }
 
-    /// The host's service, and where requests to it go.
+    /// Returns the service for an endpoint and its host.
     fn service(&self, endpoint: &str) -> Option<(M::Service, Host)> {
         let mut hosts = self.hosts.borrow_mut();
         let known = hosts.get_mut(endpoint)?;
@@ -131,14 +137,15 @@
         Some((service.clone(), known.host.clone()))
     }
 
+    /// Makes an attempt. Sets `begun` just before the request is sent.
     async fn exchange(
         &self, attempt: &Attempt, gate: &dyn SendGate, begun: &Cell<bool>, wait: Duration,
-    ) -> AttemptEnd<Answer> {
+    ) -> AttemptEnd<CollectedResponse> {
         let Some((mut service, host)) = self.service(&attempt.endpoint) else {
             return AttemptEnd::without_response(Outcome::NotSent);
         };
         if poll_fn(|cx| service.poll_ready(cx)).await.is_err() {
-            // It may be of no use any more; the next attempt gets a new one.
+            // The service may stay unusable, so the next attempt gets a new one.
             self.forget(&attempt.endpoint);
             return AttemptEnd::without_response(Outcome::NoConnection);
         }
@@ -147,41 +154,45 @@
         };
         let key = attempt.idempotency_key.as_deref();
         self.protocol.prepare(&mut request, &attempt.call_id, key, attempt.attempt, wait);
-        // While it became ready, the host may have begun to leave, or a wait may have been told.
+        // While the service became ready, the host may have begun to drain, or a Retry-After may have been
+        // received.
         if !self.may_send(&attempt.endpoint, attempt.destination) || !gate.begin() {
             return AttemptEnd::without_response(Outcome::NotSent);
         }
         begun.set(true);
-        let answer = match service.call(request).await {
-            Ok(answer) => answer,
+        let response = match service.call(request).await {
+            Ok(response) => response,
             Err(e) => {
-                let e: Box<dyn Error + Send + Sync> = e.into();
-                return AttemptEnd::without_response(self.protocol.broke(&*e));
+                let error: Box<dyn Error + Send + Sync> = e.into();
+                return AttemptEnd::without_response(self.protocol.outcome_of_error(&*error));
             }
         };
-        let (head, body) = answer.into_parts();
-        let body = match collect(body, self.most_answer).await {
+        let (head, body) = response.into_parts();
+        let body = match collect(body, self.max_response_bytes).await {
             Ok(body) => body,
-            Err(NotWhole::TooLong | NotWhole::Broken) => return AttemptEnd::without_response(Outcome::Error),
+            Err(BodyError::TooLong | BodyError::Broken) => {
+                return AttemptEnd::without_response(Outcome::Error)
+            }
         };
-        let answer = Response::from_parts(head, body);
-        let meaning = self.protocol.read(&answer);
-        if meaning.wait_ms > 0.0 {
-            let (now, wait) = (Instant::now(), Duration::from_secs_f64(meaning.wait_ms / 1000.0));
-            let mut waits = self.waits.borrow_mut();
-            waits.retain(|_, until| *until > now);
-            let until = waits.entry(self.group(&host)).or_insert(now);
+        let response = Response::from_parts(head, body);
+        let parsed = self.protocol.parse(&response);
+        if parsed.wait_ms > 0.0 {
+            let (now, wait) = (Instant::now(), Duration::from_secs_f64(parsed.wait_ms / 1000.0));
+            let mut retry_afters = self.retry_afters.borrow_mut();
+            retry_afters.retain(|_, until| *until > now);
+            let until = retry_afters.entry(self.group(&host)).or_insert(now);
             *until = (*until).max(now + wait);
         }
         AttemptEnd {
-            outcome: meaning.outcome,
-            settled: meaning.settled,
-            wait_ms: meaning.wait_ms,
+            outcome: parsed.outcome,
+            settled: parsed.settled,
+            wait_ms: parsed.wait_ms,
             report: Vec::new(),
-            response: Some(answer),
+            response: Some(response),
         }
     }
 
+    /// Drops the service of an endpoint; the next attempt makes a new one.
     fn forget(&self, endpoint: &str) {
         if let Some(known) = self.hosts.borrow_mut().get_mut(endpoint) {
             known.service = None;
@@ -189,22 +200,22 @@
     }
 }
 
-/// What comes back.
-pub type Answer = Response<Collected>;
+/// A partner's response, completely read.
+pub type CollectedResponse = Response<Collected>;
 
 impl<M: Connect> Carrier for TowerCarrier<M> {
-    type Response = Answer;
-    type List = News;
+    type Response = CollectedResponse;
+    type List = HostUpdate;
 
-    fn apply_list(&self, news: News) -> ListUpdate {
+    fn apply_list(&self, update: HostUpdate) -> ListUpdate {
         let mut hosts = self.hosts.borrow_mut();
-        let (list, whole) = match news {
-            News::Whole(list) => (list, true),
-            News::Changes(list) => (list, false),
+        let (list, is_full) = match update {
+            HostUpdate::Full(list) => (list, true),
+            HostUpdate::Delta(list) => (list, false),
         };
-        if whole {
-            let named: HashSet<&str> = list.iter().map(|h| h.name.as_str()).collect();
-            hosts.retain(|name, _| named.contains(name.as_str()));
+        if is_full {
+            let listed: HashSet<&str> = list.iter().map(|h| h.name.as_str()).collect();
+            hosts.retain(|name, _| listed.contains(name.as_str()));
         }
         let endpoints = list.iter().map(Host::endpoint).collect::<Vec<Endpoint>>();
         for host in list {
@@ -212,12 +223,13 @@
                 hosts.remove(&host.name);
                 continue;
             }
-            let same =
-                |k: &Known<M::Service>| k.host.authority == host.authority && k.host.scheme == host.scheme;
-            let service = hosts.remove(&host.name).filter(same).and_then(|k| k.service);
-            hosts.insert(host.name.clone(), Known { host, service });
+            let same_address = |known: &KnownHost<M::Service>| {
+                known.host.authority == host.authority && known.host.scheme == host.scheme
+            };
+            let service = hosts.remove(&host.name).filter(same_address).and_then(|known| known.service);
+            hosts.insert(host.name.clone(), KnownHost { host, service });
         }
-        if whole {
+        if is_full {
             ListUpdate::Full(endpoints)
         } else {
             ListUpdate::Delta(endpoints)
@@ -225,13 +237,13 @@
     }
 
     async fn attempt(
-        &self, attempt: &Attempt, gate: &dyn SendGate, mut off: Cancellation,
-    ) -> AttemptEnd<Answer> {
+        &self, attempt: &Attempt, gate: &dyn SendGate, mut cancellation: Cancellation,
+    ) -> AttemptEnd<CollectedResponse> {
         let wait = attempt.wait();
         let begun = Cell::new(false);
         let outcome = tokio::select! {
             biased;
-            () = off.requested() => Outcome::Cancelled,
+            () = cancellation.requested() => Outcome::Cancelled,
             ended = tokio::time::timeout(wait, self.exchange(attempt, gate, &begun, wait)) => match ended {
                 Ok(ended) => return ended,
                 Err(_) => Outcome::TimedOut,
@@ -240,7 +252,7 @@
         AttemptEnd::without_response(if begun.get() { outcome } else { Outcome::NoConnection })
     }
 
-    /// There is nothing to look at but a service that is ready.
+    /// Probes whether the endpoint's service becomes ready; without a message there is nothing else to test.
     async fn probe(&self, endpoint: &str) -> (Outcome, Vec<f64>) {
         let Some((mut service, _)) = self.service(endpoint) else {
             return (Outcome::NoConnection, Vec::new());
--- a/crates/tower/src/client.rs
+++ b/crates/tower/src/client.rs
@@ -1,8 +1,8 @@
-//! The caller's side.
+//! The client: submits calls to the engine and waits for their results.
 
-use crate::body::{collect, Collected, NotWhole};
+use crate::body::{collect, BodyError, Collected};
 use crate::error::Error;
-use crate::front::{Answer, Counted, End, Place, Ticket, COME_AGAIN};
+use crate::front::{CallResult, CallState, CollectedResponse, Ticket, WaitingPermit, DEFAULT_RETRY_AFTER};
 use crate::options::{CallOptions, Methods};
 use crate::protocol::Protocol;
 use crate::stored;
@@ -20,128 +20,139 @@
 use tokio::sync::oneshot;
 use tower_service::Service;
 
-/// The longest id or key.
-const MOST_ID: usize = 256;
-/// The engine's queue, whatever its carrier is.
-pub trait Queue: Send + Sync {
+/// Maximum length of a call id, idempotency key or order key.
+const MAX_ID_BYTES: usize = 256;
+/// Queue of the engine, independent of the type of its carrier.
+pub trait EngineQueue: Send + Sync {
+    /// Submits a message. Returns `false` if the engine has ended.
     fn submit(&self, message: Box<Message>, ticket: Ticket) -> bool;
+    /// Withdraws a message.
     fn withdraw(&self, id: u64);
 }
 
+/// What all clones of a [`Client`] share.
 pub struct Shared {
-    pub queue: Box<dyn Queue>,
+    pub queue: Box<dyn EngineQueue>,
     pub names: Names,
     pub classes: Vec<Class>,
     pub methods: Methods,
     pub protocol: Protocol,
     pub clock: Clock,
-    pub most_request: usize,
-    /// Calls that may wait for an end at once: each holds its request in memory.
-    pub most_waiting: usize,
-    pub waiting: Arc<AtomicUsize>,
-    /// What makes ids of this process differ from those of others.
-    pub prefix: u128,
-    pub made: AtomicU64,
+    pub max_request_bytes: usize,
+    /// Maximum number of calls that wait for a result at once. Each keeps its request in memory.
+    pub max_waiting_calls: usize,
+    pub waiting_calls: Arc<AtomicUsize>,
+    /// Random prefix that makes generated call ids unique among processes.
+    pub id_prefix: u128,
+    /// Number of call ids generated so far.
+    pub generated_ids: AtomicU64,
 }
 
-/// The relay as a service. A clone is another handle of the same relay.
+/// The relay as a service. Clones are handles to the same relay.
 #[derive(Clone)]
 pub struct Client(pub(crate) Arc<Shared>);
 
-/// One call that waits. Dropped before its end it withdraws the call.
-struct Waiting<'a> {
+/// A call that waits for its result. Withdraws the call if dropped before the result.
+struct PendingCall<'a> {
     shared: &'a Shared,
-    place: Place,
-    over: bool,
+    state: CallState,
+    finished: bool,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
-        if !self.over {
-            self.place.leave().into_iter().for_each(|id| self.shared.queue.withdraw(id));
+        if !self.finished {
+            self.state.abandon().into_iter().for_each(|id| self.shared.queue.withdraw(id));
         }
     }
 }
 
 impl Client {
-    /// Whether a path stands in the table of methods.
+    /// Returns whether the table of methods has options for a path.
     pub fn knows(&self, path: &str) -> bool {
         self.0.methods.of(path).is_some()
     }
 
-    /// Makes a call, as options in the request's extensions and the table by path say. The future needs no runtime.
+    /// Makes a call with the options in the request's extensions and in the table of methods. The future
+    /// needs no async runtime.
     ///
-    /// If the future is dropped, the call is withdrawn: an attempt that is out is called off, and may have run.
+    /// Dropping the future withdraws the call: an attempt in flight is cancelled, and may have run.
     ///
     /// # Errors
-    /// See [`Error`]; each call has exactly one end.
-    pub async fn send<B: Body>(&self, request: Request<B>) -> Result<Answer, Error> {
+    /// See [`Error`]. Each call has exactly one result.
+    pub async fn send<B: Body>(&self, request: Request<B>) -> Result<CollectedResponse, Error> {
         let shared = &*self.0;
-        // Counted first, so that a flood is refused before its bodies are read.
-        let Some(counted) = Counted::new(&shared.waiting, shared.most_waiting) else {
-            return Err(Error::Refused { retry_after: Some(COME_AGAIN), may_have_run: false, last: None });
+        // Checked before the body is read, so that calls over the limit cost no memory for their bodies.
+        let Some(permit) = WaitingPermit::new(&shared.waiting_calls, shared.max_waiting_calls) else {
+            return Err(Error::Refused {
+                retry_after: Some(DEFAULT_RETRY_AFTER),
+                may_have_run: false,
+                last: None,
+            });
         };
         let message = shared.message(request).await?;
-        let (end, ended) = oneshot::channel::<End>();
-        let place = Place::default();
-        let ticket = Ticket { place: place.clone(), end, _counted: counted };
+        let (result, receiver) = oneshot::channel::<CallResult>();
+        let state = CallState::default();
+        let ticket = Ticket { state: state.clone(), result, _permit: permit };
         if !shared.queue.submit(Box::new(message), ticket) {
             return Err(Error::Stopped { taken: false });
         }
-        let mut waiting = Waiting { shared, place: place.clone(), over: false };
-        let end = ended.await;
-        waiting.over = true;
-        end.unwrap_or_else(|_| Err(Error::Stopped { taken: place.taken() }))
+        let mut pending = PendingCall { shared, state: state.clone(), finished: false };
+        let result = receiver.await;
+        pending.finished = true;
+        result.unwrap_or_else(|_| Err(Error::Stopped { taken: state.is_accepted() }))
     }
 }
 
 impl Shared {
+    /// Makes the message of a request.
     async fn message<B: Body>(&self, request: Request<B>) -> Result<Message, Error> {
         let (mut parts, body) = request.into_parts();
         let own = parts.extensions.remove::<CallOptions>().unwrap_or_default();
-        let options = own.or(self.methods.of(parts.uri.path()));
-        let class = options.class.as_deref().ok_or(Error::BadCall("no class is given for it"))?;
+        let options = own.with_defaults(self.methods.of(parts.uri.path()));
+        let class = options.class.as_deref().ok_or(Error::BadCall("the call has no class"))?;
         let class = self.names.classes.iter().position(|c| c == class);
         let class = class.ok_or(Error::BadCall("there is no such class"))?;
-        let kind = self.classes.get(class).ok_or(Error::BadCall("there is no such class"))?;
+        let settings = self.classes.get(class).ok_or(Error::BadCall("there is no such class"))?;
         let tenant = match &options.tenant {
             None => Some(0),
             Some(name) => self.names.tenants.iter().position(|t| t == name),
         };
         let tenant = tenant.ok_or(Error::BadCall("there is no such tenant"))?;
-        let destination = options.destination.ok_or(Error::BadCall("no destination is given for it"))?;
-        if kind.effect == Effect::Keyed && options.key.is_none() {
-            return Err(Error::BadCall("its class needs a key"));
+        let destination = options.destination.ok_or(Error::BadCall("the call has no destination"))?;
+        if settings.effect == Effect::Keyed && options.key.is_none() {
+            return Err(Error::BadCall("the class of the call needs a key"));
         }
         let ids = [&options.key, &options.call_id, &options.order_key];
-        if ids.into_iter().flatten().any(|id| id.is_empty() || id.len() > MOST_ID) {
-            return Err(Error::BadCall("an id or key is empty or too long"));
+        if ids.into_iter().flatten().any(|id| id.is_empty() || id.len() > MAX_ID_BYTES) {
+            return Err(Error::BadCall("an id or key is empty or too long (at most 256 bytes)"));
         }
         let plain = |id: &String| id.bytes().all(|b| b.is_ascii_graphic());
         if !options.key.iter().chain(&options.call_id).all(plain) {
-            return Err(Error::BadCall("an id or key is not plain text"));
+            return Err(Error::BadCall("an id or key is not plain text (visible ASCII characters)"));
         }
-        let body = collect(body, self.most_request).await.map_err(|e| match e {
-            NotWhole::TooLong => Error::BadCall("its body is too long"),
-            NotWhole::Broken => Error::BadCall("its body broke off"),
+        let body = collect(body, self.max_request_bytes).await.map_err(|e| match e {
+            BodyError::TooLong => Error::BadCall("the request body is too long"),
+            BodyError::Broken => Error::BadCall("the request body ended with an error"),
         })?;
-        let most = Duration::from_secs_f64(kind.deadline_ms.clamp(0.0, 1e9) / 1000.0);
-        let budget = options.budget.unwrap_or(most).min(most);
-        let stored = stored::encode(&parts, body.data()).ok_or(Error::BadCall("it can't be stored"))?;
+        let max_budget = Duration::from_secs_f64(settings.deadline_ms.clamp(0.0, 1e9) / 1000.0);
+        let budget = options.budget.unwrap_or(max_budget).min(max_budget);
+        let stored = stored::encode(&parts, body.data())
+            .ok_or(Error::BadCall("the request can't be encoded for storage"))?;
         Ok(Message {
-            call_id: options.call_id.unwrap_or_else(|| self.id()),
+            call_id: options.call_id.unwrap_or_else(|| self.generate_id()),
             class,
             tenant,
             destination,
             due: self.clock.now() + budget.as_secs_f64() * 1000.0,
-            order_key: options.order_key.filter(|_| kind.in_order),
+            order_key: options.order_key.filter(|_| settings.in_order),
             idempotency_key: options.key.map(Into::into),
             body: stored,
         })
     }
 
-    fn id(&self) -> String {
-        format!("{:032x}-{:x}", self.prefix, self.made.fetch_add(1, Ordering::Relaxed))
+    fn generate_id(&self) -> String {
+        format!("{:032x}-{:x}", self.id_prefix, self.generated_ids.fetch_add(1, Ordering::Relaxed))
     }
 }
 
@@ -154,12 +165,12 @@
     type Error = Error;
     type Future = Pin<Box<dyn Future<Output = Result<Response<Collected>, Error>> + Send>>;
 
-    /// Always: overload is refused at once by the call itself, with when to come back.
+    /// Always ready. Under overload, the call itself fails at once with [`Error::Refused`] and a retry-after.
     fn poll_ready(&mut self, _: &mut Context) -> Poll<Result<(), Error>> {
         Poll::Ready(Ok(()))
     }
 
-    /// With [`Protocol::Grpc`] an end without a partner's answer comes as a gRPC status, see [`grpc_status`].
+    /// Makes a call. With [`Protocol::Grpc`], an error is returned as a gRPC status; see [`grpc_status`].
     fn call(&mut self, request: Request<B>) -> Self::Future {
         let client = self.clone();
         Box::pin(async move {
@@ -171,36 +182,42 @@
     }
 }
 
-/// An error as gRPC clients expect it. Where a partner answered last, its own answer stands, with the two fields
-/// below added.
+/// Converts an error to a gRPC response. If a partner's response with a gRPC status is the last known one, it
+/// is returned with its own status, and the fields below are set in it.
 ///
-/// | end | status | `grpc-retry-pushback-ms` |
+/// | error | status | `grpc-retry-pushback-ms` |
 /// | --- | --- | --- |
-/// | refused, it did not run | `UNAVAILABLE` | when to come back, if told |
-/// | refused, it may have run | `UNKNOWN` | -1: not to be sent again blindly |
-/// | failed, it may have run | `DEADLINE_EXCEEDED` | -1 |
-/// | failed, it did not run | `DEADLINE_EXCEEDED` | |
-/// | a call that can't be taken | `INVALID_ARGUMENT` | -1 |
-/// | shut down | `UNAVAILABLE`; `UNKNOWN` if it had been taken on | |
+/// | refused, did not run | `UNAVAILABLE` | retry-after, if known |
+/// | refused, may have run | `UNKNOWN` | -1, so that clients don't retry by themselves |
+/// | failed, may have run | `DEADLINE_EXCEEDED` | -1 |
+/// | failed, did not run | `DEADLINE_EXCEEDED` | |
+/// | invalid call | `INVALID_ARGUMENT` | -1 |
+/// | relay shut down | `UNAVAILABLE`; `UNKNOWN` if the call had been accepted | |
 ///
-/// Each carries `mulleinslip-end` (`refused`, `failed`, `bad-call`, `stopped`) and `mulleinslip-may-have-run`
-/// (`true`, `false`).
+/// Each response carries `mulleinslip-end` (`refused`, `failed`, `bad-call`, `stopped`) and
+/// `mulleinslip-may-have-run` (`true`, `false`).
 fn grpc_status(error: Error) -> Response<Collected> {
-    let ran = error.may_have_run();
-    let words = error.to_string();
+    let may_have_run = error.may_have_run();
+    let message = error.to_string();
     let (end, status, pushback, last) = match error {
         Error::Refused { retry_after, last, .. } => {
-            let after = retry_after.map(|a| a.as_millis().min(i32::MAX as u128) as i64);
-            ("refused", if ran { 2 } else { 14 }, if ran { Some(-1) } else { after }, last)
+            let retry_after_ms = retry_after.map(|a| a.as_millis().min(i32::MAX as u128) as i64);
+            (
+                "refused",
+                if may_have_run { 2 } else { 14 },
+                if may_have_run { Some(-1) } else { retry_after_ms },
+                last,
+            )
         }
-        Error::Failed { last, .. } => ("failed", 4, ran.then_some(-1), last),
+        Error::Failed { last, .. } => ("failed", 4, may_have_run.then_some(-1), last),
         Error::BadCall(_) => ("bad-call", 3, Some(-1), None),
-        Error::Stopped { .. } => ("stopped", if ran { 2 } else { 14 }, None, None),
+        Error::Stopped { .. } => ("stopped", if may_have_run { 2 } else { 14 }, None, None),
     };
-    let words = HeaderValue::from_str(&words).unwrap_or(HeaderValue::from_static("not delivered"));
-    // A partner's answer stands where it has a status; its pushback doesn't, as it is not up to the partner any more.
-    let last = last.filter(|a| a.status() == StatusCode::OK).map(|a| *a);
-    let (mut answer, fields) = match last.map(Response::into_parts) {
+    let message = HeaderValue::from_str(&message).unwrap_or(HeaderValue::from_static("not delivered"));
+    // A partner's response is kept if it has a gRPC status. Its pushback is not kept: whether and when to retry is
+    // no longer the partner's decision.
+    let last = last.filter(|response| response.status() == StatusCode::OK).map(|response| *response);
+    let (mut response, fields) = match last.map(Response::into_parts) {
         Some((head, body)) if body.trailers().is_some_and(|t| t.contains_key("grpc-status")) => {
             let fields = body.trailers().cloned().unwrap_or_default();
             (Response::from_parts(head, body), Some(fields))
@@ -209,30 +226,30 @@
             (Response::from_parts(head, body), None)
         }
         _ => {
-            let mut answer = Response::new(Collected::default());
-            let headers = answer.headers_mut();
+            let mut response = Response::new(Collected::default());
+            let headers = response.headers_mut();
             headers.insert("content-type", HeaderValue::from_static("application/grpc"));
             headers.insert("grpc-status", HeaderValue::from(status));
-            headers.insert("grpc-message", words);
-            (answer, None)
+            headers.insert("grpc-message", message);
+            (response, None)
         }
     };
-    let ran = HeaderValue::from_static(if ran { "true" } else { "false" });
-    let put = |fields: &mut HeaderMap| {
+    let may_have_run = HeaderValue::from_static(if may_have_run { "true" } else { "false" });
+    let add_fields = |fields: &mut HeaderMap| {
         fields.insert("mulleinslip-end", HeaderValue::from_static(end));
-        fields.insert("mulleinslip-may-have-run", ran);
+        fields.insert("mulleinslip-may-have-run", may_have_run);
         fields.remove("grpc-retry-pushback-ms");
         pushback
             .into_iter()
             .for_each(|ms| _ = fields.insert("grpc-retry-pushback-ms", HeaderValue::from(ms)));
     };
     match fields {
-        None => put(answer.headers_mut()),
+        None => add_fields(response.headers_mut()),
         Some(mut trailers) => {
-            put(&mut trailers);
-            let data = answer.body().data().clone();
-            *answer.body_mut() = Collected::new(data, Some(trailers));
+            add_fields(&mut trailers);
+            let data = response.body().data().clone();
+            *response.body_mut() = Collected::new(data, Some(trailers));
         }
     }
-    answer
+    response
 }
--- a/crates/tower/src/error.rs
+++ b/crates/tower/src/error.rs
@@ -1,40 +1,41 @@
-//! How a call ends that was not delivered.
+//! Errors of calls that were not delivered.
 
 use crate::body::Collected;
 use std::fmt;
 use std::time::Duration;
 
-/// Each call ends once, delivered or with one of these.
+/// Why a call was not delivered. Each call ends exactly once, with a response or with one of these errors.
 #[derive(Debug)]
 pub enum Error {
-    /// Not delivered; handing it in again later is harmless as its class sees it.
+    /// The call was not delivered. The rules of its class allow the caller to send it again later.
     Refused {
-        /// When to come back, where that can be told.
+        /// Time after which the caller may try again, if known.
         retry_after: Option<Duration>,
-        /// Whether an attempt may have run.
+        /// Whether the partner may have processed an attempt.
         may_have_run: bool,
         /// What a partner answered last, if one did.
         last: Option<Box<http::Response<Collected>>>,
     },
-    /// Given up, with no promise.
+    /// The relay gave the call up, and a repeat is not known to be harmless.
     Failed {
-        /// Whether an attempt may have run: if so, only whoever knows what the partner has booked may send it again.
+        /// Whether the partner may have processed an attempt. If so, check what the partner has done before
+        /// sending the call again.
         may_have_run: bool,
         /// What a partner answered last, if one did.
         last: Option<Box<http::Response<Collected>>>,
     },
-    /// The call can't be taken as it stands; it was not tried. The words say what is wrong with it.
+    /// The call is invalid and no attempt was made. The text says what is wrong with it.
     BadCall(&'static str),
-    /// The relay has been shut down. A call that it had taken on may have run; with a folder, the next start on it
-    /// carries the call on.
+    /// The relay has been shut down. A call that had been accepted may have run; with a state folder, the
+    /// next process on that folder continues it.
     Stopped {
-        /// Whether it had been taken on.
+        /// Whether the call had been accepted.
         taken: bool,
     },
 }
 
 impl Error {
-    /// Whether the partner may have acted on the call.
+    /// Returns whether the partner may have processed the call.
     pub fn may_have_run(&self) -> bool {
         match self {
             Error::Refused { may_have_run, .. } | Error::Failed { may_have_run, .. } => *may_have_run,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// When to come back, where that is told.
+    /// Returns the time after which the caller may try again, if known.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Error::Refused { retry_after, .. } => *retry_after,
@@ -54,15 +55,15 @@
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let ran = if self.may_have_run() { "; it may have run" } else { "; it did not run" };
+        let run_note = if self.may_have_run() { "; the call may have run" } else { "; the call did not run" };
         match self {
             Error::Refused { retry_after: Some(after), .. } => {
-                write!(f, "refused, come back in {} ms{ran}", after.as_millis())
+                write!(f, "refused, retry after {} ms{run_note}", after.as_millis())
             }
-            Error::Refused { .. } => write!(f, "refused{ran}"),
-            Error::Failed { .. } => write!(f, "not delivered{ran}"),
-            Error::BadCall(why) => write!(f, "the call can't be taken: {why}"),
-            Error::Stopped { .. } => write!(f, "the relay was shut down{ran}"),
+            Error::Refused { .. } => write!(f, "refused{run_note}"),
+            Error::Failed { .. } => write!(f, "not delivered{run_note}"),
+            Error::BadCall(why) => write!(f, "invalid call: {why}"),
+            Error::Stopped { .. } => write!(f, "the relay was shut down{run_note}"),
         }
     }
 }
--- a/crates/tower/src/front.rs
+++ b/crates/tower/src/front.rs
@@ -1,4 +1,5 @@
-//! Callers that wait, on the engine's side.
+//! The front of the plug-in, on the engine's thread: keeps the callers that wait and passes results on to
+//! them.
 
 use crate::body::Collected;
 use crate::error::Error;
@@ -11,109 +12,118 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-pub type Answer = Response<Collected>;
-pub type End = Result<Answer, Error>;
+pub type CollectedResponse = Response<Collected>;
+pub type CallResult = Result<CollectedResponse, Error>;
 
-/// What is known of a call's message on both sides: the engine's number for it, or one of these.
-const NOT_TAKEN: u64 = 0;
-/// The caller has gone.
-const GONE: u64 = u64::MAX;
-/// Others wait for it too, so its caller's going away ends nothing.
+/// Value of [`CallState`] before the engine has accepted the call. Once accepted, the value is the message's
+/// id.
+const NOT_ACCEPTED: u64 = 0;
+/// Value of [`CallState`] after the caller has dropped the call.
+const ABANDONED: u64 = u64::MAX;
+/// Value of [`CallState`] if several callers wait for the message, so that one of them can't withdraw it.
 const SHARED: u64 = u64::MAX - 1;
 
-/// When to come back, for a call that is refused before the engine has it.
-pub const COME_AGAIN: Duration = Duration::from_millis(500);
+/// Retry-after of calls that are refused without an answer of the engine.
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Where a call is between its caller and the engine.
+/// State of a call, shared between its caller and the engine's thread.
 #[derive(Clone, Default)]
-pub struct Place(Arc<AtomicU64>);
-
-impl Place {
-    /// The caller goes away. Gives the message to be withdrawn, if there is one.
-    pub fn leave(&self) -> Option<u64> {
-        match self.0.swap(GONE, Ordering::AcqRel) {
-            NOT_TAKEN | GONE | SHARED => None,
+pub struct CallState(Arc<AtomicU64>);
+
+impl CallState {
+    /// Records that the caller has dropped the call. Returns the id of the message to withdraw, if there is
+    /// one.
+    pub fn abandon(&self) -> Option<u64> {
+        match self.0.swap(ABANDONED, Ordering::AcqRel) {
+            NOT_ACCEPTED | ABANDONED | SHARED => None,
             id => Some(id),
         }
     }
 
-    /// Whether it was taken on.
-    pub fn taken(&self) -> bool {
-        !matches!(self.0.load(Ordering::Acquire), NOT_TAKEN | GONE)
+    /// Returns whether the engine has accepted the call.
+    pub fn is_accepted(&self) -> bool {
+        !matches!(self.0.load(Ordering::Acquire), NOT_ACCEPTED | ABANDONED)
     }
 
-    /// It is taken on. `false` if the caller has gone before.
-    fn take(&self, id: u64) -> bool {
-        self.0.compare_exchange(NOT_TAKEN, id, Ordering::AcqRel, Ordering::Acquire).is_ok()
+    /// Records that the call was accepted as message `id`. Returns `false` if the caller has already dropped
+    /// it.
+    fn accept(&self, id: u64) -> bool {
+        self.0.compare_exchange(NOT_ACCEPTED, id, Ordering::AcqRel, Ordering::Acquire).is_ok()
     }
 
-    /// Others wait for its message as well; `from` is the message, or [`NOT_TAKEN`] for one of the others.
-    fn share(&self, from: u64) {
-        let _gone = self.0.compare_exchange(from, SHARED, Ordering::AcqRel, Ordering::Acquire);
+    /// Records that several callers wait for the message. `current` is the expected state: the message's id
+    /// for the first caller, [`NOT_ACCEPTED`] for one that joins.
+    fn share(&self, current: u64) {
+        let _abandoned = self.0.compare_exchange(current, SHARED, Ordering::AcqRel, Ordering::Acquire);
     }
 }
 
-/// A call that counts against the bound on calls that wait. It lasts until the engine has let go of the call, not
-/// only until its caller has: whoever drops calls as fast as it makes them must not fill the queue.
-pub struct Counted(Arc<AtomicUsize>);
+/// Permit of one call within the limit on waiting calls. It is held until the engine has dropped the call,
+/// not only until the caller has: otherwise a caller that drops calls as fast as it makes them could fill the
+/// queue.
+pub struct WaitingPermit(Arc<AtomicUsize>);
 
-impl Counted {
-    /// `None` if as many wait as may.
-    pub fn new(waiting: &Arc<AtomicUsize>, most: usize) -> Option<Counted> {
-        let counted = Counted(waiting.clone());
-        (waiting.fetch_add(1, Ordering::AcqRel) < most).then_some(counted)
+impl WaitingPermit {
+    /// Returns `None` if the limit is reached.
+    pub fn new(waiting: &Arc<AtomicUsize>, max_calls: usize) -> Option<WaitingPermit> {
+        let permit = WaitingPermit(waiting.clone());
+        (waiting.fetch_add(1, Ordering::AcqRel) < max_calls).then_some(permit)
     }
 }
 
-impl Drop for Counted {
+impl Drop for WaitingPermit {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-/// What a caller hands in along with its message.
+/// What a caller submits along with its message: the way back for the result.
 pub struct Ticket {
-    pub place: Place,
-    pub end: oneshot::Sender<End>,
-    pub _counted: Counted,
+    pub state: CallState,
+    pub result: oneshot::Sender<CallResult>,
+    pub _permit: WaitingPermit,
 }
 
-/// Told of the end of a call that an earlier process had taken on: the caller's id for it, and the end.
-pub type OnCarried = Box<dyn FnMut(&str, Result<&Answer, &Error>) + Send>;
+/// Callback for the result of a call that an earlier process had accepted: the caller's id for the call, and
+/// the result.
+pub type RecoveredCallback = Box<dyn FnMut(&str, Result<&CollectedResponse, &Error>) + Send>;
 
+/// Passes the engine's replies on to the callers.
 pub struct TowerFront {
     waiting: HashMap<u64, Ticket>,
-    /// Those that handed in the same call once more.
-    also: HashMap<u64, Vec<Ticket>>,
-    on_carried: OnCarried,
-    /// Puts what these need back into the engine's queue.
+    /// Callers that submitted a call again while the first was open, by message id.
+    duplicates: HashMap<u64, Vec<Ticket>>,
+    on_recovered: RecoveredCallback,
+    /// Queues the confirmation that the final answer of a message has been passed on.
     confirm: Box<dyn Fn(u64) + Send>,
+    /// Queues the withdrawal of a message.
     withdraw: Box<dyn Fn(u64) + Send>,
 }
 
 impl TowerFront {
     pub fn new(
-        on_carried: OnCarried, confirm: Box<dyn Fn(u64) + Send>, withdraw: Box<dyn Fn(u64) + Send>,
+        on_recovered: RecoveredCallback, confirm: Box<dyn Fn(u64) + Send>, withdraw: Box<dyn Fn(u64) + Send>,
     ) -> TowerFront {
-        TowerFront { waiting: HashMap::new(), also: HashMap::new(), on_carried, confirm, withdraw }
+        TowerFront { waiting: HashMap::new(), duplicates: HashMap::new(), on_recovered, confirm, withdraw }
     }
 
-    fn end(&mut self, id: u64, call_id: &str, end: End) {
-        let also = self.also.remove(&id).unwrap_or_default();
+    /// Sends the result of a message to all callers that wait for it.
+    fn finish(&mut self, id: u64, call_id: &str, result: CallResult) {
+        let duplicates = self.duplicates.remove(&id).unwrap_or_default();
         let Some(ticket) = self.waiting.remove(&id) else {
-            // Taken on by an earlier process; whoever has handed it in again hears as well.
-            (self.on_carried)(call_id, end.as_ref());
-            return also.into_iter().for_each(|t| drop(t.end.send(again(&end))));
+            // Accepted by an earlier process. Callers that submitted the call again get the result as well.
+            (self.on_recovered)(call_id, result.as_ref());
+            return duplicates.into_iter().for_each(|t| drop(t.result.send(copy_result(&result))));
         };
-        also.into_iter().for_each(|t| drop(t.end.send(again(&end))));
-        let _gone = ticket.end.send(end);
+        duplicates.into_iter().for_each(|t| drop(t.result.send(copy_result(&result))));
+        let _abandoned = ticket.result.send(result);
     }
 }
 
-/// The same end for another that waits for it.
-fn again(end: &End) -> End {
-    match end {
-        Ok(answer) => Ok(answer.clone()),
+/// Returns a copy of a result for another caller.
+fn copy_result(result: &CallResult) -> CallResult {
+    match result {
+        Ok(response) => Ok(response.clone()),
         Err(Error::Refused { retry_after, may_have_run, last }) => {
             Err(Error::Refused { retry_after: *retry_after, may_have_run: *may_have_run, last: last.clone() })
         }
@@ -125,48 +135,48 @@
     }
 }
 
-fn span(ms: Option<f64>) -> Option<Duration> {
+fn duration_from_ms(ms: Option<f64>) -> Option<Duration> {
     ms.map(|ms| Duration::from_secs_f64(ms.clamp(0.0, 1e9) / 1000.0))
 }
 
-impl Front<Ticket, Answer> for TowerFront {
-    fn reply(&mut self, told: FrontReply<Ticket, Answer>) {
-        match told {
+impl Front<Ticket, CollectedResponse> for TowerFront {
+    fn reply(&mut self, reply: FrontReply<Ticket, CollectedResponse>) {
+        match reply {
             FrontReply::Accepted { id, ticket } => {
-                let here = ticket.place.take(id);
+                let accepted = ticket.state.accept(id);
                 self.waiting.insert(id, ticket);
-                if !here {
+                if !accepted {
                     (self.withdraw)(id);
                 }
             }
             FrontReply::Duplicate { id, ticket } => {
                 if let Some(first) = self.waiting.get(&id) {
-                    first.place.share(id);
+                    first.state.share(id);
                 }
-                ticket.place.share(NOT_TAKEN);
-                self.also.entry(id).or_default().push(ticket);
+                ticket.state.share(NOT_ACCEPTED);
+                self.duplicates.entry(id).or_default().push(ticket);
             }
             FrontReply::Rejected { ticket, why } => {
                 let (may_have_run, last) = (false, None);
-                let _gone = ticket.end.send(Err(match why {
+                let _abandoned = ticket.result.send(Err(match why {
                     Rejection::Refused { retry_after_ms } => {
-                        Error::Refused { retry_after: span(retry_after_ms), may_have_run, last }
+                        Error::Refused { retry_after: duration_from_ms(retry_after_ms), may_have_run, last }
                     }
                     Rejection::Failed => Error::Failed { may_have_run, last },
                 }));
             }
             FrontReply::Final { id, call_id, answer } => {
-                let (end, owed) = match answer {
-                    FinalAnswer::Delivered(answer) | FinalAnswer::EndedByPartner(Some(answer)) => {
-                        (Ok(answer), false)
+                let (result, needs_confirmation) = match answer {
+                    FinalAnswer::Delivered(response) | FinalAnswer::EndedByPartner(Some(response)) => {
+                        (Ok(response), false)
                     }
-                    FinalAnswer::DeliveredLate(answer) => (Ok(answer), true),
+                    FinalAnswer::DeliveredLate(response) => (Ok(response), true),
                     FinalAnswer::EndedByPartner(None) => {
                         (Err(Error::Failed { may_have_run: false, last: None }), false)
                     }
                     FinalAnswer::Refused { retry_after_ms, may_have_run, last } => (
                         Err(Error::Refused {
-                            retry_after: span(retry_after_ms),
+                            retry_after: duration_from_ms(retry_after_ms),
                             may_have_run,
                             last: last.map(Box::new),
                         }),
@@ -176,9 +186,9 @@
                         (Err(Error::Failed { may_have_run, last: last.map(Box::new) }), true)
                     }
                 };
-                self.end(id, &call_id, end);
-                // It has reached its caller, or there is none in this process any more.
-                if owed {
+                self.finish(id, &call_id, result);
+                // The result has reached its caller, or this process has no caller for it.
+                if needs_confirmation {
                     (self.confirm)(id);
                 }
             }
@@ -186,15 +196,17 @@
     }
 
     fn waits(&self, ticket: &Ticket) -> bool {
-        !ticket.end.is_closed()
+        !ticket.result.is_closed()
     }
 
     fn withdrawn(&mut self, id: u64) {
         self.waiting.remove(&id);
-        // They came between the first caller's going and this. The message is gone, and may have run.
-        for ticket in self.also.remove(&id).unwrap_or_default() {
-            let end = Error::Refused { retry_after: Some(COME_AGAIN), may_have_run: true, last: None };
-            let _gone = ticket.end.send(Err(end));
+        // These callers joined after the first one had dropped the call. The message is withdrawn, but may
+        // have run.
+        for ticket in self.duplicates.remove(&id).unwrap_or_default() {
+            let error =
+                Error::Refused { retry_after: Some(DEFAULT_RETRY_AFTER), may_have_run: true, last: None };
+            let _abandoned = ticket.result.send(Err(error));
         }
     }
 }
@@ -203,35 +215,37 @@
 mod tests {
     use super::*;
 
-    fn ticket(waiting: &Arc<AtomicUsize>) -> (Ticket, Place, oneshot::Receiver<End>) {
-        let (end, ended) = oneshot::channel();
-        let place = Place::default();
-        let _counted = Counted::new(waiting, 10).unwrap();
-        (Ticket { place: place.clone(), end, _counted }, place, ended)
+    fn ticket(waiting: &Arc<AtomicUsize>) -> (Ticket, CallState, oneshot::Receiver<CallResult>) {
+        let (result, receiver) = oneshot::channel();
+        let state = CallState::default();
+        let _permit = WaitingPermit::new(waiting, 10).unwrap();
+        (Ticket { state: state.clone(), result, _permit }, state, receiver)
     }
 
+    // Guards against a caller that never gets an answer: it submitted a call again, and the first caller
+    // dropped its own future before or after that.
     #[test]
-    fn whoever_joins_a_call_is_answered_whatever_its_first_caller_does() {
+    fn joined_call_is_answered_when_first_caller_drops() {
         let waiting = Arc::default();
         let mut front = TowerFront::new(Box::new(|_, _| ()), Box::new(|_| ()), Box::new(|_| ()));
-        // The first goes before the second joins, and its message with it.
-        let (first, place, _ended) = ticket(&waiting);
+        // The first caller drops before the second joins: the message is withdrawn.
+        let (first, state, _receiver) = ticket(&waiting);
         front.reply(FrontReply::Accepted { id: 1, ticket: first });
-        assert_eq!(place.leave(), Some(1));
-        let (second, joined, mut ended) = ticket(&waiting);
+        assert_eq!(state.abandon(), Some(1));
+        let (second, joined, mut receiver) = ticket(&waiting);
         front.reply(FrontReply::Duplicate { id: 1, ticket: second });
-        assert!(joined.taken() && joined.leave().is_none());
+        assert!(joined.is_accepted() && joined.abandon().is_none());
         front.withdrawn(1);
-        assert!(matches!(ended.try_recv(), Ok(Err(e)) if e.may_have_run()));
-        // It goes after: the message stays.
-        let (first, place, _ended) = ticket(&waiting);
+        assert!(matches!(receiver.try_recv(), Ok(Err(e)) if e.may_have_run()));
+        // The first caller drops after the second has joined: the message stays.
+        let (first, state, _receiver) = ticket(&waiting);
         front.reply(FrontReply::Accepted { id: 2, ticket: first });
-        let (second, _, mut ended) = ticket(&waiting);
+        let (second, _, mut receiver) = ticket(&waiting);
         front.reply(FrontReply::Duplicate { id: 2, ticket: second });
-        assert_eq!(place.leave(), None);
+        assert_eq!(state.abandon(), None);
         let answer = FinalAnswer::Delivered(Response::new(Collected::default()));
         front.reply(FrontReply::Final { id: 2, call_id: "c".into(), answer });
-        assert!(matches!(ended.try_recv(), Ok(Ok(_))));
-        assert_eq!(waiting.load(Ordering::SeqCst), 0, "nothing counts any more");
+        assert!(matches!(receiver.try_recv(), Ok(Ok(_))));
+        assert_eq!(waiting.load(Ordering::SeqCst), 0, "permits are still held after all calls have ended");
     }
 }
--- a/crates/tower/src/host.rs
+++ b/crates/tower/src/host.rs
@@ -1,30 +1,30 @@
-//! A host, as the plug-in knows it.
+//! A host of a destination, as the plug-in describes it.
 
 use linenhall::{Endpoint, EndpointStatus};
 
 /// A host of a destination.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Host {
-    /// Its name, the same wherever it listens.
+    /// Name of the host. It stays the same when the address changes.
     pub name: String,
-    /// `http` or `https`.
+    /// URI scheme, `http` or `https`.
     pub scheme: String,
-    /// Host and port.
+    /// Host name or IP address, and port.
     pub authority: String,
-    /// Its destination.
+    /// Destination that the host serves.
     pub destination: u64,
-    /// Index of its zone.
+    /// Index of the host's zone.
     pub zone: u32,
-    /// Index of the kind of its destination.
+    /// Index of the destination's kind.
     pub kind: usize,
-    /// See [`linenhall::WeightMeaning`].
+    /// Weight of the host; see [`linenhall::WeightMeaning`].
     pub weight: f64,
-    /// Whether it takes calls, drains or is gone.
+    /// Whether the host is active, draining or removed.
     pub state: EndpointStatus,
 }
 
 impl Host {
-    /// A host over plain HTTP, in the first zone, of the first kind.
+    /// Returns an active host with the scheme `http`, in zone 0, of kind 0, with weight 1.
     pub fn new(name: impl Into<String>, destination: u64, authority: impl Into<String>) -> Host {
         Host {
             name: name.into(),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// In another state.
+    /// Sets the state.
     pub fn state(mut self, state: EndpointStatus) -> Host {
         self.state = state;
         self
--- a/crates/tower/src/layer.rs
+++ b/crates/tower/src/layer.rs
@@ -1,4 +1,4 @@
-//! The relay as a layer over a service that calls directly: what the relay knows goes through it.
+//! The relay as a [`Layer`] over a service that calls hosts directly.
 
 use crate::body::Collected;
 use crate::client::Client;
@@ -13,13 +13,13 @@
 use tower_layer::Layer;
 use tower_service::Service;
 
-/// Sends calls through the relay that have [`CallOptions`] or stand in its table of methods, and all others to the
-/// service below, as they come: streams, for one.
+/// Layer that sends a call through the relay if the call has [`CallOptions`] or its path is in the relay's
+/// table of methods. All other calls, such as streams, go unchanged to the inner service.
 #[derive(Clone)]
 pub struct RelayLayer(Client);
 
 impl RelayLayer {
-    /// A layer with this relay.
+    /// Returns a layer that uses the given relay.
     pub fn new(client: Client) -> RelayLayer {
         RelayLayer(client)
     }
@@ -32,7 +32,7 @@
     }
 }
 
-/// See [`RelayLayer`].
+/// Service made by [`RelayLayer`]: calls the relay or the inner service.
 #[derive(Clone)]
 pub struct Through<S> {
     relay: Client,
@@ -55,7 +55,7 @@
     type Future = BoxFuture<Self::Response>;
 
     fn poll_ready(&mut self, cx: &mut Context) -> Poll<Result<(), BoxError>> {
-        // Which way the call goes is not known yet. The relay is always ready.
+        // The request, and so its way, is not known yet. The relay is always ready.
         self.direct.poll_ready(cx).map_err(Into::into)
     }
 
@@ -66,6 +66,6 @@
             return Box::pin(async move { Ok(call.await?.map(Either::Left)) });
         }
         let call = self.direct.call(request);
-        Box::pin(async move { call.await.map(|a| a.map(Either::Right)).map_err(Into::into) })
+        Box::pin(async move { call.await.map(|response| response.map(Either::Right)).map_err(Into::into) })
     }
 }
--- a/crates/tower/src/lib.rs
+++ b/crates/tower/src/lib.rs
@@ -1,25 +1,27 @@
-//! The relay inside a client program: a [`tower_service::Service`] over HTTP requests, for `tonic` clients and any
-//! other `tower` HTTP client. A call that goes through it is a message like any other: the one decision module
-//! says which endpoint it goes to, when, whether it is tried again and whether it is turned away; it gets one final
-//! answer.
+//! The relay embedded in a client program: a [`tower_service::Service`] over HTTP requests, for `tonic`
+//! clients and any other `tower` HTTP client. Each call becomes a message like in the stand-alone relay: the
+//! decision module selects its endpoint, schedules it, retries it or rejects it, and it gets exactly one
+//! final answer.
 //!
-//! - [`Builder`] starts an engine on a thread of its own; [`Client`] is `Clone + Send + Sync` and may be called from
-//!   any thread, with or without a runtime.
-//! - What a call is — class, tenant, destination, budget, key — stands in its extensions ([`CallOptions`]) or in a
-//!   table by path ([`Methods`]).
-//! - Hosts come as a fixed list ([`Builder::hosts`]), from the caller's own news ([`Endpoints`]), or from the platform's
-//!   discovery ([`Builder::discovery`]).
-//! - [`Protocol`] says how answers are read: gRPC unary calls, or plain HTTP.
+//! - [`Builder`] starts an engine on its own thread; [`Client`] is `Clone + Send + Sync` and can be called
+//!   from any thread, with or without an async runtime.
+//! - The properties of a call (class, tenant, destination, budget, key) are set in the request's extensions
+//!   ([`CallOptions`]) or in a table by path ([`Methods`]).
+//! - Hosts come from a fixed list ([`Builder::hosts`]), from updates that the program itself supplies
+//!   ([`Endpoints`]), or from the platform's discovery ([`Builder::discovery`]).
+//! - [`Protocol`] says how responses are interpreted: gRPC unary calls, or plain HTTP.
 //!
-//! # What is promised
+//! # Guarantees
 //!
-//! With a folder ([`Builder::folder`]), a call that was taken on outlasts the process: the next start on that folder
-//! carries it on, and sends nothing again that its class forbids; its end is told to [`Builder::on_carried`].
-//! **Without a folder nothing outlasts the process**: calls that are open when it ends are lost, those with an
-//! attempt out may have run, and nobody will know. Within the process the rules hold all the same.
+//! With a state folder ([`Builder::folder`]), an accepted call survives the process: the next process that
+//! starts on that folder continues it, never repeats an attempt that the call's class forbids to repeat, and
+//! reports the result to [`Builder::on_carried`]. **Without a folder nothing survives the process**: calls
+//! that are open when it ends are lost. Those with an attempt in flight may have run, and their outcome is
+//! unknown. Within one process, the same rules apply with and without a folder.
 //!
-//! The services that make the attempts run on the engine's thread. One that blocks holds up all calls; one that
-//! panics costs the attempt it was making, which then may have run.
+//! The services that make the attempts run on the engine's thread. A service that blocks delays all calls. A
+//! service that panics loses the attempt that it was making, and that attempt counts as one that may have
+//! run.
 #![warn(missing_docs)]
 
 mod body;
--- a/crates/tower/src/protocol.rs
+++ b/crates/tower/src/protocol.rs
@@ -1,4 +1,4 @@
-//! How answers are read.
+//! Protocols of partners: what a request carries, and what a response means.
 
 use crate::body::Collected;
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode};
@@ -7,38 +7,41 @@
 use std::error::Error;
 use std::time::Duration;
 
-/// The longest wait that is believed, in milliseconds: the destination would be shut for longer.
-const MOST_WAIT_MS: f64 = 60_000.0;
+/// Upper limit of a Retry-After or pushback, so that one response can't block a destination for longer.
+const MAX_RETRY_AFTER_MS: f64 = 60_000.0;
 
-/// What partners speak. Each row that is not proof of the contrary counts as one that may have run.
+/// Protocol of the partners. A call counts as one that may have run unless the response proves that it did
+/// not.
 ///
-/// | answer | [`Protocol::Grpc`] | [`Protocol::Http`] | [`Protocol::Platform`] |
+/// | response | [`Protocol::Grpc`] | [`Protocol::Http`] | [`Protocol::Platform`] |
 /// | --- | --- | --- | --- |
 /// | `OK` / 2xx / 200 | delivered | delivered | delivered |
-/// | the partner's own word on the call: `INVALID_ARGUMENT`, `NOT_FOUND`, `ALREADY_EXISTS`, `PERMISSION_DENIED`, `FAILED_PRECONDITION`, `ABORTED`, `OUT_OF_RANGE`, `UNIMPLEMENTED`, `UNAUTHENTICATED` / 3xx, 4xx but 408, 425, 429 / 410 | passed on, over | passed on, over | passed on, over |
-/// | turned away unseen: `UNAVAILABLE` or `RESOURCE_EXHAUSTED` with a pushback and no message / 429, 503 with `Retry-After` / 429, 503 | wait heeded, tried again | the same | the same |
-/// | never sent on: 503 with `X-No-Slot`, 504 | | | tried again |
-/// | all else, and answers that broke off | may have run | may have run | may have run |
+/// | final answer of the partner: `INVALID_ARGUMENT`, `NOT_FOUND`, `ALREADY_EXISTS`, `PERMISSION_DENIED`, `FAILED_PRECONDITION`, `ABORTED`, `OUT_OF_RANGE`, `UNIMPLEMENTED`, `UNAUTHENTICATED` / 3xx, 4xx but 408, 425, 429 / 410 | passed on, no retry | passed on, no retry | passed on, no retry |
+/// | rejected before processing: `UNAVAILABLE` or `RESOURCE_EXHAUSTED` with a pushback and no message / 429, 503 with `Retry-After` / 429, 503 | retried after the wait | the same | the same |
+/// | not forwarded to the partner: 503 with `X-No-Slot`, 504 | | | retried |
+/// | anything else, and incomplete responses | may have run | may have run | may have run |
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
-    /// gRPC unary calls over HTTP/2 ([the protocol](https://github.com/grpc/grpc/blob/master/doc/PROTOCOL-HTTP2.md)).
+    /// gRPC unary calls over HTTP/2 ([the
+    /// protocol](https://github.com/grpc/grpc/blob/master/doc/PROTOCOL-HTTP2.md)).
     Grpc,
     /// HTTP (RFC 9110).
     Http,
-    /// The platform's own protocol, as the daemon's hosts speak it.
+    /// The platform's own protocol, which the hosts of the stand-alone relay use.
     Platform,
 }
 
-const fn plain(outcome: Outcome) -> ParsedOutcome {
+/// An outcome that settles nothing and asks for no wait.
+const fn unsettled(outcome: Outcome) -> ParsedOutcome {
     ParsedOutcome { outcome, settled: false, wait_ms: 0.0 }
 }
 
 const DELIVERED: ParsedOutcome = ParsedOutcome { outcome: Outcome::Delivered, settled: true, wait_ms: 0.0 };
-/// Also a word that says no is an answer, and shows that the partner is well.
-const SAID: ParsedOutcome = DELIVERED;
+/// A negative final answer counts like a delivery, as it shows that the partner works.
+const FINAL_ANSWER: ParsedOutcome = DELIVERED;
 
 impl Protocol {
-    /// Puts in what a partner needs to know of an attempt.
+    /// Adds the headers that tell a partner about an attempt.
     pub(crate) fn prepare(
         self, request: &mut Request<Collected>, call_id: &str, key: Option<&[u8]>, attempt: u32,
         wait: Duration,
@@ -49,7 +52,7 @@
         }
         match self {
             Protocol::Grpc => {
-                // Eight digits at most.
+                // gRPC allows at most eight digits.
                 let text = match wait.as_micros() {
                     micros if micros < 100_000_000 => format!("{micros}u"),
                     _ => format!("{}m", wait.as_millis().min(99_999_999)),
@@ -67,34 +70,38 @@
         }
     }
 
-    /// What an answer that came whole means.
-    pub(crate) fn read(self, answer: &Response<Collected>) -> ParsedOutcome {
-        let status = answer.status();
+    /// Returns what a complete response means.
+    pub(crate) fn parse(self, response: &Response<Collected>) -> ParsedOutcome {
+        let status = response.status();
         match self {
-            Protocol::Grpc => grpc(answer),
+            Protocol::Grpc => parse_grpc(response),
             Protocol::Http => match status.as_u16() {
                 200..300 => DELIVERED,
-                429 => full(retry_after_ms(answer.headers())),
-                503 if answer.headers().contains_key("retry-after") => full(retry_after_ms(answer.headers())),
-                408 | 425 => plain(Outcome::Error),
-                300..500 => SAID,
-                _ => plain(Outcome::Error),
+                429 => full(retry_after_ms(response.headers())),
+                503 if response.headers().contains_key("retry-after") => {
+                    full(retry_after_ms(response.headers()))
+                }
+                408 | 425 => unsettled(Outcome::Error),
+                300..500 => FINAL_ANSWER,
+                _ => unsettled(Outcome::Error),
             },
-            Protocol::Platform => ParsedOutcome::of(status, answer.headers()),
+            Protocol::Platform => ParsedOutcome::of(status, response.headers()),
         }
     }
 
-    /// What an attempt that brought no answer means, once it had begun. Only a refused connection proves that it
-    /// never ran: no other call gives that error.
-    pub(crate) fn broke(self, error: &(dyn Error + 'static)) -> Outcome {
+    /// Returns the outcome of an attempt that had begun and failed without a response. Only a refused
+    /// connection proves that the attempt did not run: connecting is the only operation that gives this
+    /// error.
+    pub(crate) fn outcome_of_error(self, error: &(dyn Error + 'static)) -> Outcome {
         let mut next = Some(error);
         while let Some(e) = next {
-            let io = e.downcast_ref::<std::io::Error>();
-            if io.is_some_and(|e| e.kind() == std::io::ErrorKind::ConnectionRefused) {
+            let io_error = e.downcast_ref::<std::io::Error>();
+            if io_error.is_some_and(|e| e.kind() == std::io::ErrorKind::ConnectionRefused) {
                 return Outcome::NoConnection;
             }
-            // One that wraps another names that one's source as its own.
-            let wrapped = io.and_then(|e| e.get_ref()).map(|e| e as &(dyn Error + 'static));
+            // The source of an I/O error that wraps another error is that error's source, not the error
+            // itself.
+            let wrapped = io_error.and_then(|e| e.get_ref()).map(|e| e as &(dyn Error + 'static));
             next = wrapped.or_else(|| e.source());
         }
         Outcome::Broken
@@ -107,35 +114,37 @@
     }
 }
 
+/// The host rejected the request without processing it and asks to wait.
 fn full(wait_ms: f64) -> ParsedOutcome {
-    ParsedOutcome { outcome: Outcome::Full, settled: false, wait_ms: wait_ms.clamp(0.0, MOST_WAIT_MS) }
+    ParsedOutcome { outcome: Outcome::Full, settled: false, wait_ms: wait_ms.clamp(0.0, MAX_RETRY_AFTER_MS) }
 }
 
-fn grpc(answer: &Response<Collected>) -> ParsedOutcome {
-    // In the trailers, or in the head where there is nothing but a head. One in the head of an answer with a
-    // message or with trailers proves nothing.
-    let alone = answer.body().data().is_empty() && answer.body().trailers().is_none();
-    let Some(fields) = answer.body().trailers().or(alone.then_some(answer.headers())) else {
-        return plain(Outcome::Broken);
+/// Returns what a complete gRPC response means.
+fn parse_grpc(response: &Response<Collected>) -> ParsedOutcome {
+    // The status is in the trailers, or in the headers of a response that has nothing but headers. A status
+    // in the headers of a response with a message or trailers proves nothing.
+    let headers_only = response.body().data().is_empty() && response.body().trailers().is_none();
+    let Some(fields) = response.body().trailers().or(headers_only.then_some(response.headers())) else {
+        return unsettled(Outcome::Broken);
     };
-    if answer.status() != StatusCode::OK {
-        // Not from a gRPC server; what stands between may have passed the call on.
-        return plain(Outcome::Error);
+    if response.status() != StatusCode::OK {
+        // Not from a gRPC server. An intermediary that answers may have forwarded the call before.
+        return unsettled(Outcome::Error);
     }
     let number = |name: &str| fields.get(name).and_then(|v| v.to_str().ok()?.parse::<i64>().ok());
-    let Some(status) = number("grpc-status") else { return plain(Outcome::Error) };
-    let unseen = answer.body().data().is_empty();
+    let Some(status) = number("grpc-status") else { return unsettled(Outcome::Error) };
+    let without_message = response.body().data().is_empty();
     match status {
         0 => DELIVERED,
         // INVALID_ARGUMENT, NOT_FOUND, ALREADY_EXISTS, PERMISSION_DENIED, FAILED_PRECONDITION, ABORTED,
         // OUT_OF_RANGE, UNIMPLEMENTED, UNAUTHENTICATED
-        3 | 5 | 6 | 7 | 9 | 10 | 11 | 12 | 16 => SAID,
+        3 | 5 | 6 | 7 | 9 | 10 | 11 | 12 | 16 => FINAL_ANSWER,
         // RESOURCE_EXHAUSTED, UNAVAILABLE
-        8 | 14 if unseen => match number("grpc-retry-pushback-ms") {
+        8 | 14 if without_message => match number("grpc-retry-pushback-ms") {
             Some(ms) if ms >= 0 => full(ms as f64),
-            _ => plain(Outcome::Error),
+            _ => unsettled(Outcome::Error),
         },
-        _ => plain(Outcome::Error),
+        _ => unsettled(Outcome::Error),
     }
 }
 
@@ -143,77 +152,90 @@
 mod tests {
     use super::*;
 
-    fn grpc_answer(
+    fn grpc_outcome(
         trailers: Option<&[(&'static str, &str)]>, head: &[(&'static str, &str)], data: &'static [u8],
     ) -> ParsedOutcome {
         let map = |fields: &[(&'static str, &str)]| {
             fields.iter().map(|(n, v)| (n.parse().unwrap(), v.parse().unwrap())).collect::<HeaderMap>()
         };
-        let mut answer = Response::new(Collected::new(data.into(), trailers.map(map)));
-        *answer.headers_mut() = map(head);
-        Protocol::Grpc.read(&answer)
+        let mut response = Response::new(Collected::new(data.into(), trailers.map(map)));
+        *response.headers_mut() = map(head);
+        Protocol::Grpc.parse(&response)
     }
 
+    // Guards against a gRPC status that is retried although the partner answered, or taken for an answer
+    // although the call may have run. Each status comes in trailers and in a response of headers only.
     #[test]
-    fn each_grpc_status_has_its_meaning() {
+    fn each_grpc_status_is_final_answer_or_error() {
         for status in 0..=17 {
             let text = status.to_string();
-            let meaning = grpc_answer(Some(&[("grpc-status", &text)]), &[], b"x");
+            let meaning = grpc_outcome(Some(&[("grpc-status", &text)]), &[], b"x");
             let expected = match status {
                 0 | 3 | 5 | 6 | 7 | 9 | 10 | 11 | 12 | 16 => DELIVERED,
-                _ => plain(Outcome::Error),
+                _ => unsettled(Outcome::Error),
             };
-            assert_eq!(meaning, expected, "status {status}");
-            assert_eq!(grpc_answer(None, &[("grpc-status", &text)], b""), expected, "alone, status {status}");
+            assert_eq!(meaning, expected, "status {status} in trailers");
+            assert_eq!(
+                grpc_outcome(None, &[("grpc-status", &text)], b""),
+                expected,
+                "status {status} in headers only"
+            );
         }
     }
 
+    // Guards against a retry of a call that ran: a pushback proves that it did not run only if there is no
+    // message and the pushback is not negative.
     #[test]
-    fn a_pushback_counts_only_where_nothing_was_answered() {
+    fn pushback_counts_only_without_message() {
         let pushed = [("grpc-status", "14"), ("grpc-retry-pushback-ms", "250")];
-        assert_eq!(grpc_answer(None, &pushed, b""), full(250.0));
-        assert_eq!(grpc_answer(Some(&pushed), &[], b""), full(250.0));
-        assert_eq!(grpc_answer(Some(&pushed), &[], b"x"), plain(Outcome::Error));
-        let never = [("grpc-status", "8"), ("grpc-retry-pushback-ms", "-1")];
-        assert_eq!(grpc_answer(None, &never, b""), plain(Outcome::Error));
+        assert_eq!(grpc_outcome(None, &pushed, b""), full(250.0));
+        assert_eq!(grpc_outcome(Some(&pushed), &[], b""), full(250.0));
+        assert_eq!(grpc_outcome(Some(&pushed), &[], b"x"), unsettled(Outcome::Error));
+        let do_not_retry = [("grpc-status", "8"), ("grpc-retry-pushback-ms", "-1")];
+        assert_eq!(grpc_outcome(None, &do_not_retry, b""), unsettled(Outcome::Error));
     }
 
+    // Guards against a truncated or malformed response that counts as delivered.
     #[test]
-    fn an_answer_cut_off_is_never_delivered() {
-        // A message came, and no trailers: whatever the head says.
-        assert_eq!(grpc_answer(None, &[("grpc-status", "0")], b"x"), plain(Outcome::Broken));
-        assert_eq!(grpc_answer(None, &[], b""), plain(Outcome::Error));
-        assert_eq!(grpc_answer(Some(&[("grpc-status", "zero")]), &[], b"x"), plain(Outcome::Error));
+    fn truncated_grpc_response_is_not_delivered() {
+        // A message without trailers, whatever the headers say.
+        assert_eq!(grpc_outcome(None, &[("grpc-status", "0")], b"x"), unsettled(Outcome::Broken));
+        assert_eq!(grpc_outcome(None, &[], b""), unsettled(Outcome::Error));
+        assert_eq!(grpc_outcome(Some(&[("grpc-status", "zero")]), &[], b"x"), unsettled(Outcome::Error));
     }
 
+    // Guards against a retry of an attempt that may have run: of the connection errors only a refused
+    // connection, also one inside another error, proves that it did not.
     #[test]
-    fn only_a_refused_connection_never_ran() {
+    fn only_refused_connection_counts_as_not_run() {
         let refused = std::io::Error::from(std::io::ErrorKind::ConnectionRefused);
         let reset = std::io::Error::from(std::io::ErrorKind::ConnectionReset);
         let wrapped = std::io::Error::other(refused);
-        assert_eq!(Protocol::Grpc.broke(&wrapped), Outcome::NoConnection);
-        assert_eq!(Protocol::Grpc.broke(&reset), Outcome::Broken);
+        assert_eq!(Protocol::Grpc.outcome_of_error(&wrapped), Outcome::NoConnection);
+        assert_eq!(Protocol::Grpc.outcome_of_error(&reset), Outcome::Broken);
     }
 
+    // Guards against HTTP statuses that are read with the wrong outcome or wait, in plain HTTP and in the
+    // platform's protocol.
     #[test]
-    fn http_answers() {
-        let read = |protocol: Protocol, status: u16, after: Option<&str>| {
-            let mut answer = Response::new(Collected::default());
-            *answer.status_mut() = StatusCode::from_u16(status).unwrap();
-            after.map(|a| answer.headers_mut().insert("retry-after", a.parse().unwrap()));
-            protocol.read(&answer)
+    fn http_status_and_retry_after_give_expected_outcome() {
+        let parse = |protocol: Protocol, status: u16, after: Option<&str>| {
+            let mut response = Response::new(Collected::default());
+            *response.status_mut() = StatusCode::from_u16(status).unwrap();
+            after.map(|a| response.headers_mut().insert("retry-after", a.parse().unwrap()));
+            protocol.parse(&response)
         };
-        assert_eq!(read(Protocol::Http, 204, None), DELIVERED);
-        assert_eq!(read(Protocol::Http, 404, None), SAID);
-        assert_eq!(read(Protocol::Http, 429, Some("1.5")), full(1500.0));
-        assert_eq!(read(Protocol::Http, 503, None), plain(Outcome::Error));
-        assert_eq!(read(Protocol::Http, 503, Some("nonsense")), full(0.0));
-        assert_eq!(read(Protocol::Http, 504, None), plain(Outcome::Error));
-        assert_eq!(read(Protocol::Platform, 504, None), plain(Outcome::NotSent));
+        assert_eq!(parse(Protocol::Http, 204, None), DELIVERED);
+        assert_eq!(parse(Protocol::Http, 404, None), FINAL_ANSWER);
+        assert_eq!(parse(Protocol::Http, 429, Some("1.5")), full(1500.0));
+        assert_eq!(parse(Protocol::Http, 503, None), unsettled(Outcome::Error));
+        assert_eq!(parse(Protocol::Http, 503, Some("nonsense")), full(0.0));
+        assert_eq!(parse(Protocol::Http, 504, None), unsettled(Outcome::Error));
+        assert_eq!(parse(Protocol::Platform, 504, None), unsettled(Outcome::NotSent));
         assert_eq!(
-            read(Protocol::Platform, 410, None),
+            parse(Protocol::Platform, 410, None),
             ParsedOutcome { outcome: Outcome::NotSent, settled: true, wait_ms: 0.0 }
         );
-        assert_eq!(read(Protocol::Platform, 201, None), plain(Outcome::Error));
+        assert_eq!(parse(Protocol::Platform, 201, None), unsettled(Outcome::Error));
     }
 }
