--- a/crates/tower/benches/unary.rs
+++ b/crates/tower/benches/unary.rs
@@ -1,5 +1,6 @@
-//! What the plug-in adds to a unary gRPC call: the same calls over a plain channel and over the plug-in, in turns, with
-//! 64 callers and with one. `cargo bench -p mulleinslip-tower --bench unary` prints a table; about half a minute.
+//! Measures the overhead of the plug-in per unary gRPC call: the same calls over a plain channel and over the
+//! plug-in, in alternating rounds, with 64 concurrent callers and with one.
+//! `cargo bench -p mulleinslip-tower --bench unary` prints a table after about half a minute.
 use bytes::Bytes;
 use mulleinslip_testkit::grpc::{GrpcPartner, GrpcReply};
 use mulleinslip_tower::{Builder, CallOptions, Methods};
@@ -13,7 +14,8 @@
 const CALLS: usize = 12_800;
 const ROUNDS: usize = 9;
 
-async fn one<S>(service: S) -> Duration
+/// Makes one call and returns its duration.
+async fn time_call<S>(service: S) -> Duration
 where
     S: tonic::client::GrpcService<tonic::body::Body>,
     S::ResponseBody: http_body::Body<Data = Bytes> + Send + 'static,
@@ -24,36 +26,38 @@
     start.elapsed()
 }
 
-/// Median, 99th percentile in microseconds, and calls a second.
-fn figures(mut all: Vec<Duration>, wall: Duration) -> [f64; 3] {
-    all.sort();
-    let at = |part: f64| all[((all.len() - 1) as f64 * part) as usize].as_secs_f64() * 1e6;
-    [at(0.5), at(0.99), all.len() as f64 / wall.as_secs_f64()]
+/// Returns the median and the 99th percentile in microseconds, and the calls per second.
+fn summarize(mut durations: Vec<Duration>, wall: Duration) -> [f64; 3] {
+    durations.sort();
+    let percentile_us =
+        |part: f64| durations[((durations.len() - 1) as f64 * part) as usize].as_secs_f64() * 1e6;
+    [percentile_us(0.5), percentile_us(0.99), durations.len() as f64 / wall.as_secs_f64()]
 }
 
+// Runs one round of calls with the given number of concurrent callers.
 macro_rules! round {
     ($runtime:expr, $callers:expr, $service:expr) => {{
         let start = Instant::now();
-        let all = $runtime.block_on(async {
+        let durations = $runtime.block_on(async {
             let tasks: Vec<_> = (0..$callers)
                 .map(|_| {
                     let service = $service.clone();
                     tokio::spawn(async move {
-                        let mut all = Vec::with_capacity(CALLS / $callers);
+                        let mut durations = Vec::with_capacity(CALLS / $callers);
                         for _ in 0..CALLS / 64 * 64 / $callers {
-                            all.push(one(service.clone()).await);
+                            durations.push(time_call(service.clone()).await);
                         }
-                        all
+                        durations
                     })
                 })
                 .collect();
-            let mut all = Vec::new();
+            let mut durations = Vec::new();
             for task in tasks {
-                all.extend(task.await.unwrap());
+                durations.extend(task.await.unwrap());
             }
-            all
+            durations
         });
-        figures(all, start.elapsed())
+        summarize(durations, start.elapsed())
     }};
 }
 
@@ -63,7 +67,7 @@
     }
     let partner = GrpcPartner::new(|_, _| GrpcReply::Ok(Bytes::from_static(&[7; 100])));
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
-    let _in = runtime.enter();
+    let _entered = runtime.enter();
     let plain = grpc::channel(&partner.address.to_string());
     let mut settings = common::settings(256, 10_000);
     settings.tenant_rates = vec![1e9];
@@ -73,30 +77,31 @@
         .methods(Methods::default().with("/orders.Orders/", CallOptions::new("unsafe", 1)))
         .start(grpc::connect)
         .unwrap();
-    println!("{CALLS} unary calls a round, medians of {ROUNDS} rounds");
+    println!("{CALLS} unary calls per round, medians of {ROUNDS} rounds");
     println!("{:<22} {:>11} {:>11} {:>10}", "", "median us", "p99 us", "calls/s");
     for callers in [1, 64] {
         let mut rows = [Vec::new(), Vec::new()];
-        for n in 0..=ROUNDS {
+        for round in 0..=ROUNDS {
             let both = [round!(runtime, callers, plain), round!(runtime, callers, client)];
-            if n > 0 {
+            // The first round is a warm-up and is not counted.
+            if round > 0 {
                 rows.iter_mut().zip(both).for_each(|(row, figures)| row.push(figures));
             }
         }
-        let of = |row: &Vec<[f64; 3]>, what: usize| {
-            let mut all: Vec<f64> = row.iter().map(|f| f[what]).collect();
-            all.sort_by(f64::total_cmp);
-            all[all.len() / 2]
+        let median_of = |row: &Vec<[f64; 3]>, column: usize| {
+            let mut values: Vec<f64> = row.iter().map(|figures| figures[column]).collect();
+            values.sort_by(f64::total_cmp);
+            values[values.len() / 2]
         };
         for (name, row) in ["tonic", "tonic over the plug-in"].iter().zip(&rows) {
-            let (median, p99, rate) = (of(row, 0), of(row, 1), of(row, 2));
+            let (median, p99, rate) = (median_of(row, 0), median_of(row, 1), median_of(row, 2));
             println!("{name:<22} {median:>11.0} {p99:>11.0} {rate:>10.0}   {callers} callers");
         }
         println!(
             "{:<22} {:>11.0} {:>11.0}",
             "added",
-            of(&rows[1], 0) - of(&rows[0], 0),
-            of(&rows[1], 1) - of(&rows[0], 1)
+            median_of(&rows[1], 0) - median_of(&rows[0], 0),
+            median_of(&rows[1], 1) - median_of(&rows[0], 1)
         );
     }
     running.shutdown(Duration::from_secs(5));
--- a/crates/tower/examples/tonic.rs
+++ b/crates/tower/examples/tonic.rs
@@ -1,6 +1,8 @@
-//! A tonic client over the plug-in, beside a partner on loopback: `cargo run -p mulleinslip-tower --example tonic`.
+//! A tonic client over the plug-in, with a partner on the loopback interface. Run it with
+//! `cargo run -p mulleinslip-tower --example tonic`.
 //!
-//! A generated client is made the same way: `OrdersClient::new(client)` instead of `tonic::client::Grpc::new(client)`.
+//! Generated clients work in the same way: `OrdersClient::new(client)` instead of
+//! `tonic::client::Grpc::new(client)`.
 use bytes::Bytes;
 use mulleinslip_testkit::grpc::{GrpcPartner, GrpcReply};
 use mulleinslip_tower::{Builder, CallOptions, Methods};
@@ -12,7 +14,7 @@
 mod grpc;
 
 fn main() {
-    // The partner is full for a moment, then takes orders; it says so in the gRPC way.
+    // The partner rejects the first call with a gRPC pushback and accepts the following ones.
     let partner = GrpcPartner::new(|call, n| match n {
         0 => GrpcReply::Alone(14, vec![("grpc-retry-pushback-ms", "200".into())]),
         _ => GrpcReply::Ok(call.body.slice(5..)),
@@ -28,10 +30,11 @@
             let answer = grpc::unary(client.clone(), "/orders.Orders/Place", Bytes::from(order), None).await;
             println!("{order}: {:?}", answer.map(|a| a.into_inner()));
         }
-        // Nobody has such a destination: refused at once, with when to come back.
-        let elsewhere = Some(CallOptions::new("safe", 99));
+        // No host serves this destination, so the call is refused at once with a retry-after.
+        let unknown_destination = Some(CallOptions::new("safe", 99));
         let answer =
-            grpc::unary(client.clone(), "/orders.Orders/Place", Bytes::from("1 bell"), elsewhere).await;
+            grpc::unary(client.clone(), "/orders.Orders/Place", Bytes::from("1 bell"), unknown_destination)
+                .await;
         println!(
             "1 bell: {:?}",
             answer.map(|a| a.into_inner()).map_err(|s| (s.code(), s.metadata().clone()))
--- a/crates/tower/src/protocol.rs
+++ b/crates/tower/src/protocol.rs
@@ -94,15 +94,15 @@
     /// error.
     pub(crate) fn outcome_of_error(self, error: &(dyn Error + 'static)) -> Outcome {
         let mut next = Some(error);
-        while let Some(e) = next {
-            let io_error = e.downcast_ref::<std::io::Error>();
+        while let Some(current) = next {
+            let io_error = current.downcast_ref::<std::io::Error>();
             if io_error.is_some_and(|e| e.kind() == std::io::ErrorKind::ConnectionRefused) {
                 return Outcome::NoConnection;
             }
             // The source of an I/O error that wraps another error is that error's source, not the error
             // itself.
             let wrapped = io_error.and_then(|e| e.get_ref()).map(|e| e as &(dyn Error + 'static));
-            next = wrapped.or_else(|| e.source());
+            next = wrapped.or_else(|| current.source());
         }
         Outcome::Broken
     }
--- a/crates/tower/tests/common/grpc.rs
+++ b/crates/tower/tests/common/grpc.rs
@@ -1,4 +1,5 @@
-//! tonic over the plug-in, and plainly: unary calls of bytes, without generated code.
+//! Unary tonic calls with plain bytes as messages, over the plug-in or a plain channel, without generated
+//! code.
 use bytes::{Buf, BufMut, Bytes};
 use mulleinslip_testkit::grpc::GrpcPartner;
 use mulleinslip_tower::{Collected, Host};
@@ -6,23 +7,24 @@
 use tonic::codec::{Codec, DecodeBuf, Decoder, EncodeBuf, Encoder};
 use tonic::transport::{Channel, Endpoint};
 
+/// Codec that sends and returns messages as bytes, unchanged.
 #[derive(Clone, Default)]
-pub struct Raw;
+pub struct BytesCodec;
 
-impl Codec for Raw {
+impl Codec for BytesCodec {
     type Encode = Bytes;
     type Decode = Bytes;
-    type Encoder = Raw;
-    type Decoder = Raw;
-    fn encoder(&mut self) -> Raw {
-        Raw
+    type Encoder = BytesCodec;
+    type Decoder = BytesCodec;
+    fn encoder(&mut self) -> BytesCodec {
+        BytesCodec
     }
-    fn decoder(&mut self) -> Raw {
-        Raw
+    fn decoder(&mut self) -> BytesCodec {
+        BytesCodec
     }
 }
 
-impl Encoder for Raw {
+impl Encoder for BytesCodec {
     type Item = Bytes;
     type Error = tonic::Status;
     fn encode(&mut self, item: Bytes, to: &mut EncodeBuf) -> Result<(), tonic::Status> {
@@ -31,7 +33,7 @@
     }
 }
 
-impl Decoder for Raw {
+impl Decoder for BytesCodec {
     type Item = Bytes;
     type Error = tonic::Status;
     fn decode(&mut self, from: &mut DecodeBuf) -> Result<Option<Bytes>, tonic::Status> {
@@ -39,15 +41,16 @@
     }
 }
 
+/// Returns a channel that connects at the first call.
 pub fn channel(authority: &str) -> Channel {
     Endpoint::from_shared(format!("http://{authority}")).unwrap().tcp_nodelay(true).connect_lazy()
 }
 
-/// A channel as the plug-in calls it.
+/// A tonic channel as a service that the plug-in can call.
 #[derive(Clone)]
-pub struct Below(Channel);
+pub struct ChannelService(Channel);
 
-impl tower_service::Service<http::Request<Collected>> for Below {
+impl tower_service::Service<http::Request<Collected>> for ChannelService {
     type Response = http::Response<tonic::body::Body>;
     type Error = tonic::transport::Error;
     type Future = <Channel as tower_service::Service<http::Request<tonic::body::Body>>>::Future;
@@ -59,17 +62,19 @@
     }
 }
 
-pub fn connect(host: &Host) -> Below {
-    Below(channel(&host.authority))
+/// Returns the service for a host, for `Builder::start`.
+pub fn connect(host: &Host) -> ChannelService {
+    ChannelService(channel(&host.authority))
 }
 
-pub fn host(name: &str, dest: u64, partner: &GrpcPartner) -> Host {
-    Host::new(name, dest, partner.address.to_string())
+/// Returns a host that is served by the partner.
+pub fn host(name: &str, destination: u64, partner: &GrpcPartner) -> Host {
+    Host::new(name, destination, partner.address.to_string())
 }
 
-/// One unary call, over the plug-in or over a channel.
+/// Makes one unary call over the plug-in or a channel.
 pub async fn unary<S>(
-    service: S, path: &'static str, message: Bytes, extension: Option<mulleinslip_tower::CallOptions>,
+    service: S, path: &'static str, message: Bytes, options: Option<mulleinslip_tower::CallOptions>,
 ) -> Result<tonic::Response<Bytes>, tonic::Status>
 where
     S: tonic::client::GrpcService<tonic::body::Body>,
@@ -79,6 +84,6 @@
     let mut grpc = tonic::client::Grpc::new(service);
     grpc.ready().await.map_err(|e| tonic::Status::unknown(e.into().to_string()))?;
     let mut request = tonic::Request::new(message);
-    extension.into_iter().for_each(|e| drop(request.extensions_mut().insert(e)));
-    grpc.unary(request, http::uri::PathAndQuery::from_static(path), Raw).await
+    options.into_iter().for_each(|options| drop(request.extensions_mut().insert(options)));
+    grpc.unary(request, http::uri::PathAndQuery::from_static(path), BytesCodec).await
 }
--- a/crates/tower/tests/common/mod.rs
+++ b/crates/tower/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A plug-in over an HTTP client with a pool, beside partners that answer as told.
+//! Set-up of a plug-in over an HTTP client with a connection pool, with scripted partners.
 #![allow(dead_code)]
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
@@ -12,15 +12,17 @@
 use std::task::{Context, Poll, Wake};
 use std::time::Duration;
 
-pub const WINDOW_MS: f64 = 1500.0;
+/// Time in which the partners drop repeats of keyed calls.
+pub const DEDUP_WINDOW_MS: f64 = 1500.0;
 
+/// Returns settings with the classes of [`names`], for one relay.
 pub fn settings(slots: usize, max_open: usize) -> Settings {
     let class = |effect: Effect, in_order: bool| Class {
         aim_ms: 500.0,
         deadline_ms: 5000.0,
         effect,
         dedup_scope: DedupScope::All,
-        dedup_window_ms: WINDOW_MS,
+        dedup_window_ms: DEDUP_WINDOW_MS,
         value: 1.0,
         late_value: 0.3,
         in_order,
@@ -55,60 +57,69 @@
     }
 }
 
+/// Returns the names of the classes and tenants.
 pub fn names() -> Names {
     let classes = ["safe", "keyed", "unsafe", "ordered"].map(String::from).to_vec();
     Names { classes, tenants: vec!["acme".into()] }
 }
 
-pub type Http = hyper_util::client::legacy::Client<HttpConnector, Collected>;
+pub type HttpClient = hyper_util::client::legacy::Client<HttpConnector, Collected>;
 
-/// A client that sends nothing again by itself.
-pub fn plain() -> Http {
+/// Returns an HTTP client that doesn't retry by itself.
+pub fn http_client() -> HttpClient {
     let mut client = hyper_util::client::legacy::Client::builder(TokioExecutor::new());
     client.retry_canceled_requests(false).build(HttpConnector::new())
 }
 
-pub fn http() -> impl Fn(&Host) -> Http {
-    shared(plain())
+/// Returns a `Connect` with one HTTP client for all hosts.
+pub fn connect_http() -> impl Fn(&Host) -> HttpClient {
+    shared(http_client())
 }
 
+/// Returns a builder for plain HTTP with the given partners as hosts.
 pub fn builder(slots: usize, max_open: usize, hosts: &[(&str, u64, &Partner)]) -> Builder {
-    let hosts = hosts.iter().map(|(name, dest, p)| Host::new(*name, *dest, p.address.to_string())).collect();
+    let hosts = hosts
+        .iter()
+        .map(|(name, destination, partner)| Host::new(*name, *destination, partner.address.to_string()))
+        .collect();
     Builder::new(settings(slots, max_open), names()).protocol(Protocol::Http).seed(7).hosts(hosts)
 }
 
-/// An order; its options stand in its extensions.
-pub fn order(options: CallOptions) -> http::Request<Collected> {
+/// Returns a request with the given options in its extensions.
+pub fn order_request(options: CallOptions) -> http::Request<Collected> {
     let id = options.call_id.clone().unwrap_or_default();
     let request = http::Request::post("/orders").header("x-call-id", id).extension(options);
     request.body(Collected::new("4 tyres".into(), None)).unwrap()
 }
 
-/// Waits for a future on a thread that has no runtime.
-pub fn wait<F: Future>(future: F) -> F::Output {
-    struct Here(std::thread::Thread);
-    impl Wake for Here {
+/// Runs a future to completion on a thread without an async runtime.
+pub fn block_on<F: Future>(future: F) -> F::Output {
+    struct ThreadWaker(std::thread::Thread);
+    impl Wake for ThreadWaker {
         fn wake(self: Arc<Self>) {
             self.0.unpark();
         }
     }
-    let waker = Arc::new(Here(std::thread::current())).into();
+    let waker = Arc::new(ThreadWaker(std::thread::current())).into();
     let mut future = pin!(future);
     loop {
-        if let Poll::Ready(done) = future.as_mut().poll(&mut Context::from_waker(&waker)) {
-            return done;
+        if let Poll::Ready(output) = future.as_mut().poll(&mut Context::from_waker(&waker)) {
+            return output;
         }
         std::thread::park_timeout(Duration::from_secs(30));
     }
 }
 
-pub fn call(client: &Client, class: &str, dest: u64, id: &str) -> Result<http::Response<Collected>, Error> {
-    wait(client.send(order(CallOptions::new(class, dest).key(id).call_id(id))))
+/// Makes a call with `id` as its call id and idempotency key, and waits for its result.
+pub fn call(
+    client: &Client, class: &str, destination: u64, id: &str,
+) -> Result<http::Response<Collected>, Error> {
+    block_on(client.send(order_request(CallOptions::new(class, destination).key(id).call_id(id))))
 }
 
-/// How a call ended, in a word.
-pub fn word(end: &Result<http::Response<Collected>, Error>) -> &'static str {
-    match end {
+/// Returns the name of a call's result.
+pub fn result_name(result: &Result<http::Response<Collected>, Error>) -> &'static str {
+    match result {
         Ok(_) => "delivered",
         Err(Error::Refused { .. }) => "refused",
         Err(Error::Failed { .. }) => "failed",
@@ -117,11 +128,11 @@
     }
 }
 
-/// A service whose calls pass through `each` first.
+/// A service that passes each request to a function before it calls the inner service.
 #[derive(Clone)]
-pub struct Tapped<S, F>(pub S, pub F);
+pub struct Inspected<S, F>(pub S, pub F);
 
-impl<S, B, F> tower_service::Service<http::Request<B>> for Tapped<S, F>
+impl<S, B, F> tower_service::Service<http::Request<B>> for Inspected<S, F>
 where
     S: tower_service::Service<http::Request<B>>,
     F: Fn(&http::Request<B>),
@@ -138,6 +149,7 @@
     }
 }
 
+/// Starts the relay; panics if that fails.
 pub fn start<M: Connect>(builder: Builder, connect: M) -> (Client, mulleinslip_tower::Running) {
     builder.start(connect).unwrap_or_else(|e| panic!("{e}"))
 }
