--- a/crates/tower/src/protocol.rs
+++ b/crates/tower/src/protocol.rs
@@ -22,8 +22,8 @@
 /// | anything else, and incomplete responses | may have run | may have run | may have run |
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
-    /// gRPC unary calls over HTTP/2 ([the
-    /// protocol](https://github.com/grpc/grpc/blob/master/doc/PROTOCOL-HTTP2.md)).
+    /// gRPC unary calls over HTTP/2
+    /// ([the protocol](https://github.com/grpc/grpc/blob/master/doc/PROTOCOL-HTTP2.md)).
     Grpc,
     /// HTTP (RFC 9110).
     Http,
@@ -38,7 +38,7 @@
 
 const DELIVERED: ParsedOutcome = ParsedOutcome { outcome: Outcome::Delivered, settled: true, wait_ms: 0.0 };
 /// A negative final answer counts like a delivery, as it shows that the partner works.
-const FINAL_ANSWER: ParsedOutcome = DELIVERED;
+const NEGATIVE_ANSWER: ParsedOutcome = DELIVERED;
 
 impl Protocol {
     /// Adds the headers that tell a partner about an attempt.
@@ -82,7 +82,7 @@
                     full(retry_after_ms(response.headers()))
                 }
                 408 | 425 => unsettled(Outcome::Error),
-                300..500 => FINAL_ANSWER,
+                300..500 => NEGATIVE_ANSWER,
                 _ => unsettled(Outcome::Error),
             },
             Protocol::Platform => ParsedOutcome::of(status, response.headers()),
@@ -138,7 +138,7 @@
         0 => DELIVERED,
         // INVALID_ARGUMENT, NOT_FOUND, ALREADY_EXISTS, PERMISSION_DENIED, FAILED_PRECONDITION, ABORTED,
         // OUT_OF_RANGE, UNIMPLEMENTED, UNAUTHENTICATED
-        3 | 5 | 6 | 7 | 9 | 10 | 11 | 12 | 16 => FINAL_ANSWER,
+        3 | 5 | 6 | 7 | 9 | 10 | 11 | 12 | 16 => NEGATIVE_ANSWER,
         // RESOURCE_EXHAUSTED, UNAVAILABLE
         8 | 14 if without_message => match number("grpc-retry-pushback-ms") {
             Some(ms) if ms >= 0 => full(ms as f64),
@@ -226,7 +226,7 @@
             protocol.parse(&response)
         };
         assert_eq!(parse(Protocol::Http, 204, None), DELIVERED);
-        assert_eq!(parse(Protocol::Http, 404, None), FINAL_ANSWER);
+        assert_eq!(parse(Protocol::Http, 404, None), NEGATIVE_ANSWER);
         assert_eq!(parse(Protocol::Http, 429, Some("1.5")), full(1500.0));
         assert_eq!(parse(Protocol::Http, 503, None), unsettled(Outcome::Error));
         assert_eq!(parse(Protocol::Http, 503, Some("nonsense")), full(0.0));
