--- a/crates/daemon/tests/endings.rs
+++ b/crates/daemon/tests/endings.rs
@@ -1,12 +1,13 @@
-//! The program on loopback at the instants in which something ends and something else is still owed. Each test holds the
-//! other side at that instant and lets it go on; docs/endings.md has the table of these paths.
+//! The program on loopback at moments at which one thing ends while another is still pending. Each test stops
+//! the other side at that moment and then lets it continue; docs/endings.md has the table of these paths.
 use mulleinslip_testkit::*;
 const PROGRAM: Program = mulleinslip_testkit::program!();
 
-/// Given up, a message in order is over for the next of its key once its sender has heard, by the notice's confirmation,
-/// and no earlier; so it is in the process that gave it up and in one that starts with the notice still owed.
+/// When an ordered message is given up, the next message of its order key may go only after the notice is
+/// confirmed, as the sender doesn't know of the end before. This holds in the process that gave the message
+/// up and in one that starts with the notice pending.
 #[test]
-fn the_next_of_a_key_waits_until_the_end_of_the_one_before_is_confirmed() {
+fn next_message_of_order_key_waits_for_confirmation_of_notice() {
     for kill in [false, true] {
         let host = Host::ok();
         let agent = Agent::new(&[]);
@@ -20,29 +21,29 @@
             relay = relay.killed(|_| {});
         }
         agent.list("a", 1, host.address, "active");
-        // Where one of another key goes, the second could have gone as well.
+        // A delivery of another key shows that the second message could have been sent by now.
         relay.submit_accepted_once_listed("ordered/other", "other", 1);
         until("the other key's delivery", || host.delivered("other").then_some(()));
         assert_eq!(host.calls_of("second"), 0, "killed: {kill}");
         agent.reply_to_notices(Vec::new());
-        until("the second", || host.delivered("second").then_some(()));
+        until("the delivery of the second message", || host.delivered("second").then_some(()));
         assert_eq!(host.calls_of("first"), 0);
     }
 }
 
-/// Killed with hundreds taken on and none tried, killed again before it could try them, and started with a smaller hold:
-/// each is tried, and none is doubled.
+/// A process is killed with hundreds of accepted and untried messages, the next one before it can try them,
+/// and a third starts with a smaller MaxOpen. Each message must still be tried, exactly once.
 #[test]
-fn hundreds_that_a_restart_finds_untried_are_tried() {
-    const MANY: usize = 300;
+fn untried_messages_found_by_a_restart_are_each_tried_once() {
+    const MESSAGES: usize = 300;
     let host = Host::new(|_, _| Reply::Late(5));
     let agent = Agent::new(&[]);
     agent.hold(1);
     let mut config = config(agent.address);
-    config["settings"]["Limits"]["MaxOpen"] = serde_json::json!(MANY + 20);
+    config["settings"]["Limits"]["MaxOpen"] = serde_json::json!(MESSAGES + 20);
     let relay = Relay::with(PROGRAM, config.clone(), &agent);
     let mut client = relay.client();
-    for n in 0..MANY {
+    for n in 0..MESSAGES {
         assert_eq!(client.submit("unsafe", &format!("m{n}"), 1, 5000, b"order").status(), 202);
     }
     let relay = relay.killed(|_| {});
@@ -52,16 +53,17 @@
         std::fs::write(file, config.to_string()).unwrap();
         agent.list("a", 1, host.address, "active");
     });
-    let line = format!("found {MANY} taken on and untried: {MANY} tried, 0 given up with no call");
-    until("the line", || relay.logged(&line).then_some(()));
-    until("their answers", || (host.all_answered().len() == MANY).then_some(()));
-    assert!((0..MANY).all(|n| host.calls_of(&format!("m{n}")) == 1));
+    let line = format!("found {MESSAGES} taken on and untried: {MESSAGES} tried, 0 given up with no call");
+    until("the log line on untried messages", || relay.logged(&line).then_some(()));
+    until("their answers", || (host.all_answered().len() == MESSAGES).then_some(()));
+    assert!((0..MESSAGES).all(|n| host.calls_of(&format!("m{n}")) == 1));
     assert!(agent.all_notices().is_empty());
 }
 
-/// What can't be tried any more is told apart in the same line.
+/// Messages that a restart finds and can't try any more are counted by cause in the same log line: past their
+/// deadline, or of a class that is no longer configured.
 #[test]
-fn what_a_restart_can_not_try_is_counted_with_its_cause() {
+fn untried_messages_that_are_given_up_are_logged_by_cause() {
     let host = Host::ok();
     let agent = Agent::new(&[]);
     agent.hold(1);
@@ -72,7 +74,7 @@
     assert_eq!(
         relay.client().submit("safe", "overdue", 1, 1, b"").status(),
         503,
-        "it ends in its first round"
+        "a message with 1 ms must end in its first round"
     );
     assert_eq!(relay.client().submit("safe", "late", 1, 400, b"").status(), 202);
     let relay = relay.killed(|journal| {
@@ -83,33 +85,36 @@
     });
     let line = "found 3 taken on and untried: 1 tried, 2 given up with no call: 1 out of time at the start, 1 of a class that \
                 is no more";
-    until("the line", || relay.logged(line).then_some(()));
+    until("the log line on untried messages", || relay.logged(line).then_some(()));
     assert_eq!(agent.wait_notice("no-class")["status"], "undeliverable");
     assert_eq!(agent.wait_notice("late")["status"], "deferred");
 }
 
-/// At SIGTERM with nothing owed the process ends early; whoever is in the middle of handing a message in is answered first.
+/// After SIGTERM with nothing pending the process exits early. A client in the middle of a request must get
+/// its answer before the exit.
 #[test]
-fn a_request_that_is_half_read_when_the_process_may_end_is_answered() {
+fn half_read_request_is_answered_before_an_early_exit() {
     let agent = Agent::new(&[("a", 1, &Host::ok())]);
     let mut relay = Relay::start(PROGRAM, &agent);
     let mut idle = relay.client();
     relay.terminate();
     until("the signal", || relay.logged("SIGTERM").then_some(()));
-    // Idle ones are closed soon before the process may end; from then on this one alone is left.
-    assert!(idle.answer().is_none(), "closed");
+    // Idle connections are closed shortly before the process may exit; the new client is the only one from
+    // then on.
+    assert!(idle.answer().is_none(), "the idle connection got an answer instead of a close");
     let mut client = relay.client();
     client.send(b"POST /safe HTTP/1.1\r\nHost: x\r\nX-Call-Id: m\r\nX-Caller: acme\r\nX-Budget: 4000m\r\n");
-    let told = std::time::Instant::now();
-    until("the time at which it may end", || (told.elapsed().as_millis() > 350).then_some(()));
+    let half_sent = std::time::Instant::now();
+    until("the time at which the process may exit", || (half_sent.elapsed().as_millis() > 350).then_some(()));
     client.send(b"X-Envelope: dest=1\r\nContent-Length: 1\r\n\r\nb");
     assert_eq!(client.answer().map(|a| a.status()), Some(503));
     assert!(relay.wait_exit().success());
 }
 
-/// Settings come from many hands: fields that are null, absent where they may be, in another order or unknown serve as well.
+/// Settings are written by various tools, so fields that are null, absent where optional, in another order or
+/// unknown must be accepted.
 #[test]
-fn settings_with_null_absent_and_unknown_fields_serve() {
+fn settings_with_null_absent_and_unknown_fields_are_accepted() {
     let host = Host::ok();
     let agent = Agent::new(&[("a", 1, &host)]);
     let mut config = config(agent.address);
@@ -131,10 +136,11 @@
     until("the delivery", || host.delivered("m").then_some(()));
 }
 
-/// The watch falls silent in the first moments of a process, and the next one at once again, and a host leaves meanwhile: what
-/// was missed counts as told 6 s after each began, and by then the relay has asked anew and sends there no more.
+/// The watch falls silent soon after the start of a process, then the next watch does, and meanwhile a host
+/// is marked as leaving. What a silent watch missed counts as told 6 s after the silence began; by then the
+/// relay must have asked again, and it must send nothing more to that host.
 #[test]
-fn a_watch_that_falls_silent_twice_is_noticed_in_time_and_hosts_that_left_are_left_alone() {
+fn silent_watch_is_replaced_in_time_and_leaving_host_gets_no_calls() {
     let (old, new) = (Host::ok(), Host::ok());
     let agent = Agent::new(&[("a", 1, &old)]);
     let relay = Relay::start(PROGRAM, &agent);
@@ -142,19 +148,23 @@
     for _ in 0..2 {
         let watched = agent.watches();
         agent.silence();
-        let silent = std::time::Instant::now();
+        let silent_since = std::time::Instant::now();
         until("another watch", || (agent.watches() > watched).then_some(()));
-        // Time out, pause and connection take 3.2 s; 5 s are room for a slow machine.
-        assert!(silent.elapsed().as_millis() < 5000, "{:?} after the silence began", silent.elapsed());
+        // The time-out, the pause and the connection take 3.2 s; 5 s leave room for a slow machine.
+        assert!(
+            silent_since.elapsed().as_millis() < 5000,
+            "the next watch came {:?} after the silence began",
+            silent_since.elapsed()
+        );
     }
     let watched = agent.watches();
     agent.silence();
-    let silent = std::time::Instant::now();
+    let silent_since = std::time::Instant::now();
     agent.list("a", 1, old.address, "leaving");
     agent.list("b", 1, new.address, "active");
     relay.take("safe", "unheard", 1);
-    until("the missed news", || (agent.watches() > watched + 1).then_some(()));
-    assert!(silent.elapsed().as_millis() < 6000);
+    until("the watch that brings the missed change", || (agent.watches() > watched + 1).then_some(()));
+    assert!(silent_since.elapsed().as_millis() < 6000);
     relay.take("safe", "heard", 1);
     until("its delivery", || new.delivered("heard").then_some(()));
     assert_eq!((old.calls_of("unheard"), old.calls_of("heard")), (1, 0));
