--- a/crates/daemon/tests/control.rs
+++ b/crates/daemon/tests/control.rs
@@ -1,4 +1,4 @@
-//! The second address: calls, figures, and clients sent away.
+//! The control address: its calls, metrics and drains.
 use mulleinslip_testkit::*;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -6,35 +6,42 @@
 
 const PROGRAM: Program = program!();
 
+/// Returns the name of the metric that counts messages of `class` with `outcome`.
 fn handled(class: &str, outcome: &str) -> String {
     format!("edge_router_handled_total{{category=\"{class}\",outcome=\"{outcome}\"}}")
 }
 
+/// Each message counts once, under the outcome that it ends with, and messages in progress are counted. After
+/// a restart the counters start at zero, but messages from the journal are in progress.
 #[test]
-fn figures_count_each_end_once_and_start_at_zero() {
+fn metrics_count_each_final_answer_once_and_start_at_zero() {
     let host = Host::first(vec![Reply::Status(200), Reply::Status(500), Reply::Status(500)]);
     let agent = Agent::new(&[("a", 1, &host)]);
     agent.hold(2);
     let relay = Relay::start(PROGRAM, &agent);
-    let zero = relay.call("vars");
-    assert!(zero.starts_with("+OK\n") && zero.ends_with("\n.\n"), "{zero}");
-    let lines = zero.lines().filter(|l| l.starts_with("edge_router_"));
-    assert_eq!(lines.clone().count(), 4 * 3 + 4, "four classes with three outcomes, and four more: {zero}");
-    assert!(lines.clone().all(|l| l.ends_with(" 0") || l.contains("_hosts ")), "{zero}");
+    let initial = relay.call("vars");
+    assert!(initial.starts_with("+OK\n") && initial.ends_with("\n.\n"), "{initial}");
+    let lines = initial.lines().filter(|l| l.starts_with("edge_router_"));
+    assert_eq!(
+        lines.clone().count(),
+        4 * 3 + 4,
+        "expected three outcomes of each of four classes, and four more: {initial}"
+    );
+    assert!(lines.clone().all(|l| l.ends_with(" 0") || l.contains("_hosts ")), "{initial}");
 
     relay.take("safe", "good", 1);
     until("its end", || (relay.figure(&handled("safe", "passed")) == 1).then_some(()));
-    // Failed at its host, and not to be repeated; an error, and repeated.
+    // The host answers both with an error: the unsafe message is given up, the keyed one is sent again.
     relay.take("unsafe", "bad", 1);
     agent.wait_notice("bad");
     relay.take("keyed", "again", 1);
     until("its end", || (relay.figure(&handled("keyed", "passed")) == 1).then_some(()));
-    // No such destination, refused at once.
+    // An unknown destination is refused at once.
     assert_eq!(relay.submit("safe", "nowhere", 9).status(), 503);
-    // Taken on and waiting, as the only host drains.
+    // This message is accepted and queued, as its destination has no active host.
     relay.take("ordered", "waits", 2);
     let vars = relay.call("vars");
-    for (figure, count) in [
+    for (metric, count) in [
         (handled("safe", "passed"), 1),
         (handled("safe", "dropped"), 1),
         (handled("unsafe", "bad_gateway"), 1),
@@ -45,27 +52,35 @@
         ("edge_router_known_hosts".into(), 2),
         ("edge_router_skipped_hosts".into(), 1),
     ] {
-        assert!(vars.contains(&format!("{figure} {count}\n")), "{figure} is not {count}: {vars}");
+        assert!(vars.contains(&format!("{metric} {count}\n")), "{metric} is not {count}: {vars}");
     }
     let relay = relay.killed(|_| {});
-    assert_eq!(relay.figure(&handled("safe", "passed")), 0, "counts start with the process");
-    assert_eq!(relay.figure("edge_router_in_progress"), 1, "what it still owes is in progress");
+    assert_eq!(relay.figure(&handled("safe", "passed")), 0, "counters must start at zero in a new process");
+    assert_eq!(
+        relay.figure("edge_router_in_progress"),
+        1,
+        "the queued message must be in progress after the restart"
+    );
 }
 
-/// A try counts once its last byte is written, not when its answer comes.
+/// An attempt counts once its last byte is written, not when its answer comes.
 #[test]
-fn a_try_without_an_answer_counts_already() {
+fn attempt_counts_before_its_answer_comes() {
     let host = Host::first(vec![Reply::Silent]);
     let agent = Agent::new(&[("a", 1, &host)]);
     let relay = Relay::start(PROGRAM, &agent);
     relay.take("unsafe", "m", 1);
     host.wait_calls(1);
-    until("the count", || (relay.figure("edge_router_upstream_tries_total") == 1).then_some(()));
+    until("the count of the attempt", || {
+        (relay.figure("edge_router_upstream_tries_total") == 1).then_some(())
+    });
     assert_eq!(relay.figure("edge_router_in_progress"), 1);
 }
 
+/// Callers of the control address that send nothing or half a line must not block other callers. They are
+/// disconnected without an answer, and so is one whose line is too long.
 #[test]
-fn callers_that_say_nothing_hold_up_no_other() {
+fn silent_control_callers_do_not_block_others() {
     let host = Host::ok();
     let agent = Agent::new(&[("a", 1, &host)]);
     let relay = Relay::start(PROGRAM, &agent);
@@ -76,32 +91,39 @@
         silent.push(stream);
         let start = Instant::now();
         assert_eq!(relay.call("check"), "+OK\n");
-        assert!(start.elapsed() < Duration::from_secs(1), "callers wait a second");
+        assert!(
+            start.elapsed() < Duration::from_secs(1),
+            "the call took a second or more, as if it waited for the silent callers' time-out"
+        );
     }
-    // Each is left in the end, without a word.
+    // Each silent caller is disconnected in the end, without an answer.
     for mut stream in silent {
         stream.set_read_timeout(Some(Duration::from_secs(15))).unwrap();
-        let mut said = Vec::new();
-        let _reset_or_end = stream.read_to_end(&mut said);
-        assert!(said.is_empty());
+        let mut received = Vec::new();
+        let _reset_or_end = stream.read_to_end(&mut received);
+        assert!(received.is_empty());
     }
-    let long = "x".repeat(4096);
+    let long_line = "x".repeat(4096);
     let mut stream = TcpStream::connect(relay.control()).unwrap();
-    let _cut_off = stream.write_all(long.as_bytes());
-    let mut said = Vec::new();
-    let _reset_or_end = stream.read_to_end(&mut said);
-    assert!(said.is_empty(), "a line without an end is not answered");
+    let _cut_off = stream.write_all(long_line.as_bytes());
+    let mut received = Vec::new();
+    let _reset_or_end = stream.read_to_end(&mut received);
+    assert!(received.is_empty(), "a line without an end was answered");
     assert!(relay.call("shut-down").starts_with("-ERR "));
 }
 
-fn health(relay: &Relay) -> u16 {
+/// Returns the status of the health path, or 0 without an answer.
+fn health_status(relay: &Relay) -> u16 {
     let mut client = relay.client();
     client.send(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     client.answer().map_or(0, |a| a.status())
 }
 
+/// During a drain the health path sends clients elsewhere and messages are still accepted. Answers close
+/// their connections soon enough for clients to move within 2 s, all others are closed by 4 s, and the end of
+/// the drain undoes it.
 #[test]
-fn a_drained_relay_takes_what_comes_and_has_no_client_left_after_four_seconds() {
+fn drained_relay_accepts_messages_and_has_no_client_connection_after_four_seconds() {
     let host = Host::ok();
     let agent = Agent::new(&[("a", 1, &host)]);
     let relay = Relay::start(PROGRAM, &agent);
@@ -109,43 +131,56 @@
     assert_eq!(used.submit("safe", "before", 1, 4000, b"").status(), 202);
     let (mut idle, mut half) = (relay.client(), relay.client());
     half.send(b"POST /safe HTTP/1.1\r\nX-Call-Id: half");
-    assert_eq!(health(&relay), 200);
+    assert_eq!(health_status(&relay), 200);
 
     let start = Instant::now();
     assert_eq!(relay.call("drain-on"), "+OK\n");
-    assert_eq!(health(&relay), 503);
-    assert_eq!(relay.call("drain-on"), "+OK\n", "said twice it is the same");
-    // Clients go on using what they have: each message is taken on, and one of the answers is the last.
-    let last = (0..).find(|n| {
+    assert_eq!(health_status(&relay), 503);
+    assert_eq!(relay.call("drain-on"), "+OK\n", "a repeated drain-on must have the same answer");
+    // The client goes on using its connection: each message is accepted, until an answer closes the
+    // connection.
+    let last_message = (0..).find(|n| {
         let answer = used.submit("safe", &format!("m{n}"), 1, 4000, b"");
         assert_eq!(answer.status(), 202);
         std::thread::sleep(Duration::from_millis(20));
         answer.header("connection") == "close"
     });
-    assert!(last > Some(0), "while the front may send clients, connections are kept");
-    assert!(start.elapsed() < Duration::from_secs(2), "a message of the last 2 s may be on no connection");
-    assert!(used.answer().is_none(), "closed");
+    assert!(
+        last_message > Some(0),
+        "the first answer in the drain closed the connection; it should be kept at first"
+    );
+    assert!(
+        start.elapsed() < Duration::from_secs(2),
+        "the connection was closed by an answer only after 2 s"
+    );
+    assert!(used.answer().is_none(), "the connection was not closed");
     assert!(idle.answer().is_none());
-    // Its last byte may be on the way: it is answered, and then closed.
+    // The rest of a half-sent request may be on its way, so this connection gets an answer and is then
+    // closed.
     assert_eq!(half.answer().map(|a| a.status()), Some(408));
     assert!(half.answer().is_none());
-    assert!(start.elapsed() < Duration::from_secs(4), "nobody is left: {:?}", start.elapsed());
-    assert_eq!(health(&relay), 503);
-    assert_eq!(relay.call("check"), "+OK\n", "it can serve all the same");
+    assert!(
+        start.elapsed() < Duration::from_secs(4),
+        "the last connection was closed only after {:?}",
+        start.elapsed()
+    );
+    assert_eq!(health_status(&relay), 503);
+    assert_eq!(relay.call("check"), "+OK\n", "a drained relay must still answer the check");
 
     assert_eq!(relay.call("drain-off"), "+OK\n");
-    assert_eq!(health(&relay), 200);
-    let mut back = relay.client();
+    assert_eq!(health_status(&relay), 200);
+    let mut new_client = relay.client();
     for n in 0..3 {
-        let answer = back.submit("safe", &format!("after{n}"), 1, 4000, b"");
+        let answer = new_client.submit("safe", &format!("after{n}"), 1, 4000, b"");
         assert_eq!((answer.status(), answer.header("connection")), (202, ""));
     }
-    let ended = last.unwrap_or(0) + 1 + 4;
-    until("all delivered", || (relay.figure(&handled("safe", "passed")) == ended).then_some(()));
+    let delivered = last_message.unwrap_or(0) + 1 + 4;
+    until("all deliveries", || (relay.figure(&handled("safe", "passed")) == delivered).then_some(()));
 }
 
+/// A drain that is ended at once must not close connections later, at the times at which it would have.
 #[test]
-fn a_drain_that_ends_early_closes_nothing_later() {
+fn drain_that_ends_early_closes_no_connection() {
     let host = Host::ok();
     let agent = Agent::new(&[("a", 1, &host)]);
     let relay = Relay::start(PROGRAM, &agent);
@@ -153,7 +188,7 @@
     assert_eq!(relay.call("drain-on"), "+OK\n");
     assert_eq!(relay.call("drain-off"), "+OK\n");
     let start = Instant::now();
-    // Past the time at which the drain would have had answers close connections, and past its end.
+    // Goes on past the time at which answers would have closed connections, and past the end of the drain.
     for n in 0.. {
         let answer = client.submit("safe", &format!("m{n}"), 1, 4000, b"");
         assert_eq!((answer.status(), answer.header("connection")), (202, ""));
