--- a/crates/testkit/src/agent.rs
+++ b/crates/testkit/src/agent.rs
@@ -1,4 +1,4 @@
-//! Discovery's agent: serves the list, its watches and notices.
+//! A stand-in for the discovery agent: serves the list and watches on it, and takes notices.
 
 use crate::host::{response, Host};
 use crate::wire::{receive, until};
@@ -9,31 +9,32 @@
 use std::time::{Duration, Instant};
 
 #[derive(Default)]
-struct Told {
+struct State {
     index: u64,
     endpoints: Vec<Value>,
     notices: Vec<Value>,
-    /// Statuses for the next notices, before they get 204.
+    /// Statuses with which the next calls with notices are answered, one per call; once empty, each gets 204.
     notice_replies: Vec<u16>,
     down: bool,
     watches: usize,
-    /// Calls for the list, watches too.
+    /// Number of calls for the list, including watches.
     calls: usize,
-    /// How often all watches that were open have fallen silent.
-    hushed: usize,
+    /// How many times [`Agent::silence`] was called.
+    silenced_count: usize,
 }
 
-/// Discovery's agent.
+/// A scripted discovery agent.
 #[derive(Clone)]
 pub struct Agent {
     pub address: SocketAddr,
-    told: Arc<Mutex<Told>>,
+    state: Arc<Mutex<State>>,
 }
 
 impl Agent {
+    /// Starts an agent that lists these hosts as active: name, destination, host.
     pub fn new(hosts: &[(&str, u64, &Host)]) -> Agent {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let agent = Agent { address: listener.local_addr().unwrap(), told: Arc::default() };
+        let agent = Agent { address: listener.local_addr().unwrap(), state: Arc::default() };
         hosts.iter().for_each(|(name, dest, host)| agent.list(name, *dest, host.address, "active"));
         let this = agent.clone();
         std::thread::spawn(move || {
@@ -45,15 +46,16 @@
         agent
     }
 
+    /// Lists a host with this status, in place of any host with the same name.
     pub fn list(&self, name: &str, dest: u64, address: SocketAddr, status: &str) {
-        let mut told = self.told.lock().unwrap();
-        told.index += 1;
-        told.endpoints.retain(|e| e["name"] != name);
-        told.endpoints.push(json!({"name": name, "address": address.to_string(), "zone": "z", "type": "k",
+        let mut state = self.state.lock().unwrap();
+        state.index += 1;
+        state.endpoints.retain(|e| e["name"] != name);
+        state.endpoints.push(json!({"name": name, "address": address.to_string(), "zone": "z", "type": "k",
             "group": dest, "status": status, "weight": 1.0, "since_ms": 0}));
     }
 
-    /// Many active hosts at once: name, destination, address.
+    /// Lists many active hosts in one change of the list: name, destination, address.
     pub fn list_all(&self, hosts: impl Iterator<Item = (String, u64, SocketAddr)>) {
         let rows: Vec<Value> = hosts
             .map(|(name, dest, address)| {
@@ -61,102 +63,112 @@
                     "group": dest, "status": "active", "weight": 1.0, "since_ms": 0})
             })
             .collect();
-        let mut told = self.told.lock().unwrap();
+        let mut state = self.state.lock().unwrap();
         let named: std::collections::HashSet<String> = rows.iter().map(|r| r["name"].to_string()).collect();
-        told.index += 1;
-        told.endpoints.retain(|e| !named.contains(&e["name"].to_string()));
-        told.endpoints.extend(rows);
+        state.index += 1;
+        state.endpoints.retain(|e| !named.contains(&e["name"].to_string()));
+        state.endpoints.extend(rows);
     }
 
-    /// These hosts are listed no more.
+    /// Removes these hosts from the list, in one change.
     pub fn unlist(&self, names: &[&str]) {
-        let mut told = self.told.lock().unwrap();
-        told.index += 1;
-        told.endpoints.retain(|e| !names.iter().any(|name| e["name"] == *name));
+        let mut state = self.state.lock().unwrap();
+        state.index += 1;
+        state.endpoints.retain(|e| !names.iter().any(|name| e["name"] == *name));
     }
 
-    /// A destination that is in the list and has nobody to send to yet: messages for it are held.
+    /// Lists a destination whose only host is draining: the relay knows the destination, but has no host to
+    /// send to, so it queues messages for it.
     pub fn hold(&self, dest: u64) {
         self.list(&format!("draining-{dest}"), dest, ([127, 0, 0, 1], 9).into(), "leaving");
     }
 
+    /// While down, the agent leaves calls for the list without an answer until it is up again; it still takes
+    /// notices.
     pub fn set_down(&self, down: bool) {
-        self.told.lock().unwrap().down = down;
+        self.state.lock().unwrap().down = down;
     }
 
-    /// All watches that are open fall silent: their connections stay, and nothing comes on them any more.
+    /// Stops answering on all connections with an open call for the list. They stay open, so that the relay
+    /// sees silence rather than a closed connection.
     pub fn silence(&self) {
-        self.told.lock().unwrap().hushed += 1;
+        self.state.lock().unwrap().silenced_count += 1;
     }
 
+    /// Sets the statuses of the next answers to notices, one per call; after them, each call gets 204.
     pub fn reply_to_notices(&self, statuses: Vec<u16>) {
-        self.told.lock().unwrap().notice_replies = statuses;
+        self.state.lock().unwrap().notice_replies = statuses;
     }
 
+    /// Returns the number of watches so far: calls for what changed after a version.
     pub fn watches(&self) -> usize {
-        self.told.lock().unwrap().watches
+        self.state.lock().unwrap().watches
     }
 
-    /// Calls for the list, watches too.
+    /// Returns the number of calls for the list so far, including watches.
     pub fn calls(&self) -> usize {
-        self.told.lock().unwrap().calls
+        self.state.lock().unwrap().calls
     }
 
+    /// Returns the notices about a message so far.
     pub fn notices_of(&self, id: &str) -> Vec<Value> {
-        self.told.lock().unwrap().notices.iter().filter(|n| n["id"] == id).cloned().collect()
+        self.state.lock().unwrap().notices.iter().filter(|n| n["id"] == id).cloned().collect()
     }
 
+    /// Returns all notices so far.
     pub fn all_notices(&self) -> Vec<Value> {
-        self.told.lock().unwrap().notices.clone()
+        self.state.lock().unwrap().notices.clone()
     }
 
+    /// Waits for the first notice about a message.
     pub fn wait_notice(&self, id: &str) -> Value {
-        until(&format!("a notice of {id}"), || self.notices_of(id).into_iter().next())
+        until(&format!("a notice about {id}"), || self.notices_of(id).into_iter().next())
     }
 
     fn snapshot(&self) -> Value {
-        let told = self.told.lock().unwrap();
-        json!({"index": told.index, "snapshot": true, "endpoints": told.endpoints})
+        let state = self.state.lock().unwrap();
+        json!({"index": state.index, "snapshot": true, "endpoints": state.endpoints})
     }
 
     fn serve(&self, stream: TcpStream) {
         let mut reader = BufReader::new(stream);
-        while let Some(heard) = receive(&mut reader, 0) {
-            let answer = if heard.line.starts_with("POST /v1/outcomes") {
-                let mut told = self.told.lock().unwrap();
-                let text = String::from_utf8_lossy(&heard.body).into_owned();
-                told.notices.extend(text.lines().map(|l| serde_json::from_str::<Value>(l).unwrap()));
-                let queued = !told.notice_replies.is_empty();
-                let status = if queued { told.notice_replies.remove(0) } else { 204 };
+        while let Some(request) = receive(&mut reader, 0) {
+            let answer = if request.line.starts_with("POST /v1/outcomes") {
+                let mut state = self.state.lock().unwrap();
+                let text = String::from_utf8_lossy(&request.body).into_owned();
+                state.notices.extend(text.lines().map(|l| serde_json::from_str::<Value>(l).unwrap()));
+                let queued = !state.notice_replies.is_empty();
+                let status = if queued { state.notice_replies.remove(0) } else { 204 };
                 response(status, "")
             } else {
                 let after: Option<u64> =
-                    heard.line.split("after=").nth(1).and_then(|t| t.split('&').next()?.parse().ok());
-                let wait_ms = heard
+                    request.line.split("after=").nth(1).and_then(|t| t.split('&').next()?.parse().ok());
+                let wait_ms = request
                     .line
                     .split("wait_ms=")
                     .nth(1)
                     .and_then(|t| t.split(['&', ' ']).next()?.parse().ok());
                 let wait = Duration::from_millis(wait_ms.unwrap_or(0));
                 let start = Instant::now();
-                let hushed = {
-                    let mut told = self.told.lock().unwrap();
-                    told.calls += 1;
-                    told.watches += usize::from(after.is_some());
-                    told.hushed
+                let silenced_before = {
+                    let mut state = self.state.lock().unwrap();
+                    state.calls += 1;
+                    state.watches += usize::from(after.is_some());
+                    state.silenced_count
                 };
                 loop {
-                    let told = self.told.lock().unwrap();
-                    if told.hushed > hushed {
-                        drop(told);
-                        let _nothing = reader.read(&mut [0; 1]);
+                    let state = self.state.lock().unwrap();
+                    if state.silenced_count > silenced_before {
+                        drop(state);
+                        let _no_data = reader.read(&mut [0; 1]);
                         return;
                     }
-                    let news = after.is_none_or(|a| told.index > a) || start.elapsed() >= wait;
-                    if news && !told.down {
+                    let has_update =
+                        after.is_none_or(|version| state.index > version) || start.elapsed() >= wait;
+                    if has_update && !state.down {
                         break;
                     }
-                    drop(told);
+                    drop(state);
                     std::thread::sleep(Duration::from_millis(2));
                 }
                 let body = self.snapshot().to_string();
--- a/crates/testkit/src/grpc.rs
+++ b/crates/testkit/src/grpc.rs
@@ -1,4 +1,5 @@
-//! A gRPC partner on loopback that answers as told: over HTTP/2 with prior knowledge, for any method.
+//! A gRPC partner on loopback, which answers calls of any method as a script says, over HTTP/2 with prior
+//! knowledge.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -14,63 +15,63 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-/// What a partner does with a call.
+/// What the partner does with a call.
 #[derive(Clone, Debug)]
 pub enum GrpcReply {
-    /// A message, and `OK` in the trailers.
+    /// Sends a message, and status `OK` in the trailers.
     Ok(Bytes),
-    /// A status in the head, which is all there is, with further fields.
+    /// Sends a status in the headers ("Trailers-Only" in gRPC), with further fields and no message.
     Alone(u32, Vec<(&'static str, String)>),
-    /// A message, and a status in the trailers, with further fields.
+    /// Sends a message, and a status in the trailers, with further fields.
     Trailers(Bytes, u32, Vec<(&'static str, String)>),
-    /// A message, and then the stream breaks.
+    /// Sends a message, then resets the stream.
     Cut(Bytes),
-    /// A message, and the end of the stream without trailers.
+    /// Sends a message, and ends the stream without trailers.
     NoTrailers(Bytes),
-    /// An HTTP status, and no gRPC.
+    /// Sends an HTTP status without a gRPC status.
     Http(u16),
-    /// The same as another, so much later.
+    /// Sends another reply after a delay.
     Late(Duration, Box<GrpcReply>),
-    /// Nothing, for good.
+    /// Never answers.
     Silent,
 }
 
-/// A call as it came.
+/// A call as the partner received it.
 #[derive(Clone, Debug)]
 pub struct GrpcReceived {
-    /// When its message was whole.
+    /// When its message was received in full.
     pub at: Instant,
     /// `/package.Service/Method`.
     pub path: String,
-    /// Its head.
+    /// Its headers.
     pub headers: HeaderMap,
-    /// Its message, with the prefix.
+    /// Its message, with the gRPC prefix.
     pub body: Bytes,
 }
 
 type Script = dyn Fn(&GrpcReceived, usize) -> GrpcReply + Send + Sync;
 
-/// Where it listens and what it heard.
+/// A scripted gRPC partner.
 #[derive(Clone)]
 pub struct GrpcPartner {
-    /// Its address.
+    /// Where it listens.
     pub address: SocketAddr,
-    heard: Arc<Mutex<Vec<GrpcReceived>>>,
+    calls: Arc<Mutex<Vec<GrpcReceived>>>,
 }
 
 impl GrpcPartner {
-    /// Answers each call by the script, which is told how many came before.
+    /// Starts a partner. The script gets each call and the number of calls before it, and returns the reply.
     pub fn new(script: impl Fn(&GrpcReceived, usize) -> GrpcReply + Send + Sync + 'static) -> GrpcPartner {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
-        let partner = GrpcPartner { address: listener.local_addr().unwrap(), heard: Arc::default() };
+        let partner = GrpcPartner { address: listener.local_addr().unwrap(), calls: Arc::default() };
         let (this, script): (GrpcPartner, Arc<Script>) = (partner.clone(), Arc::new(script));
         std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
             runtime.block_on(async move {
                 let listener = tokio::net::TcpListener::from_std(listener).unwrap();
                 while let Ok((stream, _)) = listener.accept().await {
-                    let _slower_without = stream.set_nodelay(true);
+                    let _ignored = stream.set_nodelay(true);
                     tokio::spawn(this.clone().serve(stream, script.clone()));
                 }
             });
@@ -78,9 +79,9 @@
         partner
     }
 
-    /// All calls so far.
+    /// Returns all calls so far.
     pub fn received(&self) -> Vec<GrpcReceived> {
-        self.heard.lock().unwrap().clone()
+        self.calls.lock().unwrap().clone()
     }
 
     async fn serve(self, stream: tokio::net::TcpStream, script: Arc<Script>) {
@@ -90,68 +91,76 @@
                 let (head, body) = request.into_parts();
                 let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
                 let path = head.uri.path().to_string();
-                let heard = GrpcReceived { at: Instant::now(), path, headers: head.headers, body };
-                let place = {
-                    let mut all = this.heard.lock().unwrap();
-                    all.push(heard.clone());
+                let call = GrpcReceived { at: Instant::now(), path, headers: head.headers, body };
+                let earlier_calls = {
+                    let mut all = this.calls.lock().unwrap();
+                    all.push(call.clone());
                     all.len() - 1
                 };
-                let mut reply = script(&heard, place);
-                while let GrpcReply::Late(after, then) = reply {
-                    tokio::time::sleep(after).await;
-                    reply = *then;
+                let mut reply = script(&call, earlier_calls);
+                while let GrpcReply::Late(delay, next) = reply {
+                    tokio::time::sleep(delay).await;
+                    reply = *next;
                 }
                 if matches!(reply, GrpcReply::Silent) {
                     std::future::pending::<()>().await;
                 }
-                Ok::<_, io::Error>(answer(reply))
+                Ok::<_, io::Error>(to_response(reply))
             }
         });
         let server = hyper::server::conn::http2::Builder::new(TokioExecutor::new());
-        let _client_gone = server.serve_connection(TokioIo::new(stream), service).await;
+        let _connection_ended = server.serve_connection(TokioIo::new(stream), service).await;
     }
 }
 
-fn fields(status: u32, more: Vec<(&'static str, String)>) -> HeaderMap {
+/// Returns the fields of a gRPC status, with further ones.
+fn status_fields(status: u32, further: Vec<(&'static str, String)>) -> HeaderMap {
     let mut map = HeaderMap::new();
     map.insert("grpc-status", status.into());
-    for (name, value) in more {
+    for (name, value) in further {
         map.insert(name, value.parse().unwrap());
     }
     map
 }
 
-/// A message with its prefix: not compressed, four bytes of length.
+/// Returns a message with the gRPC prefix: a zero byte for "not compressed", and four bytes of length.
 pub fn message(data: &[u8]) -> Bytes {
-    let mut all = vec![0];
-    all.extend_from_slice(&(data.len() as u32).to_be_bytes());
-    all.extend_from_slice(data);
-    all.into()
+    let mut framed = vec![0];
+    framed.extend_from_slice(&(data.len() as u32).to_be_bytes());
+    framed.extend_from_slice(data);
+    framed.into()
 }
 
-fn answer(reply: GrpcReply) -> Response<Frames> {
-    let mut answer = Response::new(Frames::default());
-    answer.headers_mut().insert("content-type", "application/grpc".parse().unwrap());
-    let frames = &mut answer.body_mut().0;
+fn to_response(reply: GrpcReply) -> Response<Frames> {
+    let mut response = Response::new(Frames::default());
+    response.headers_mut().insert("content-type", "application/grpc".parse().unwrap());
+    let frames = &mut response.body_mut().0;
     match reply {
         GrpcReply::Ok(data) => {
-            frames.extend([Ok(Frame::data(message(&data))), Ok(Frame::trailers(fields(0, Vec::new())))]);
+            frames
+                .extend([Ok(Frame::data(message(&data))), Ok(Frame::trailers(status_fields(0, Vec::new())))]);
         }
-        GrpcReply::Trailers(data, status, more) => {
-            frames.extend([Ok(Frame::data(message(&data))), Ok(Frame::trailers(fields(status, more)))]);
+        GrpcReply::Trailers(data, status, further) => {
+            frames.extend([
+                Ok(Frame::data(message(&data))),
+                Ok(Frame::trailers(status_fields(status, further))),
+            ]);
         }
         GrpcReply::Cut(data) => {
-            frames.extend([Ok(Frame::data(message(&data))), Err(io::Error::other("cut off"))]);
+            frames.extend([
+                Ok(Frame::data(message(&data))),
+                Err(io::Error::other("stream reset by the script")),
+            ]);
         }
         GrpcReply::NoTrailers(data) => frames.push_back(Ok(Frame::data(message(&data)))),
-        GrpcReply::Alone(status, more) => answer.headers_mut().extend(fields(status, more)),
-        GrpcReply::Http(status) => *answer.status_mut() = status.try_into().unwrap(),
-        GrpcReply::Late(..) | GrpcReply::Silent => unreachable!("waited for before"),
+        GrpcReply::Alone(status, further) => response.headers_mut().extend(status_fields(status, further)),
+        GrpcReply::Http(status) => *response.status_mut() = status.try_into().unwrap(),
+        GrpcReply::Late(..) | GrpcReply::Silent => unreachable!("replaced or waited for in `serve`"),
     }
-    answer
+    response
 }
 
-/// A body of frames.
+/// A response body made of prepared frames.
 #[derive(Default)]
 struct Frames(VecDeque<io::Result<Frame<Bytes>>>);
 
--- a/crates/testkit/src/host.rs
+++ b/crates/testkit/src/host.rs
@@ -1,4 +1,4 @@
-//! Hosts: listeners that give scripted replies to calls and note what they heard.
+//! Scripted partner hosts: listeners that answer calls as a script says and record what they received.
 
 use crate::wire::{receive, until, ReceivedRequest};
 use std::io::{BufReader, Read, Write};
@@ -10,46 +10,53 @@
 /// What a host does with a call.
 #[derive(Clone, Debug)]
 pub enum Reply {
+    /// Answers with a status.
     Status(u16),
+    /// Answers with a status and header lines, each with its line end.
     With(u16, &'static str),
-    /// Answers 200 after so many milliseconds.
+    /// Answers 200 after a delay in milliseconds.
     Late(u64),
-    /// Answers 500 after so many milliseconds.
+    /// Answers 500 after a delay in milliseconds.
     Fails(u64),
-    /// Answers 200 and closes the connection once it has stood idle for a while, without saying so.
+    /// Answers 200 without `Connection: close`, and closes the connection 150 ms later.
     AndClose,
-    /// These bytes, and the connection stays open.
+    /// Sends these bytes and keeps the connection open.
     Raw(&'static str),
+    /// Closes the connection without an answer.
     Reset,
+    /// Never answers, and keeps the connection open until the relay closes it.
     Silent,
 }
 
+/// Returns a response without a body. `headers` holds header lines, each with its line end.
 pub fn response(status: u16, headers: &str) -> String {
     format!("HTTP/1.1 {status} x\r\n{headers}Content-Length: 0\r\n\r\n")
 }
 
 type Script = dyn Fn(&ReceivedRequest, usize) -> Reply + Send + Sync;
 
-/// A host: what it heard, and on how many connections.
+/// A scripted host.
 #[derive(Clone)]
 pub struct Host {
     pub address: SocketAddr,
-    heard: Arc<Mutex<Vec<ReceivedRequest>>>,
+    calls: Arc<Mutex<Vec<ReceivedRequest>>>,
+    /// Number of connections accepted.
     pub conns: Arc<AtomicUsize>,
-    /// Connections that it closed by itself.
+    /// Number of connections closed on [`Reply::AndClose`].
     pub closed: Arc<AtomicUsize>,
-    /// Ids of the calls that it answered, and the statuses.
+    /// Ids of the calls that the host answered, and the statuses.
     answers: Arc<Mutex<Vec<(String, u16)>>>,
 }
 
 impl Host {
-    /// A host that replies to a call, given how many came before it.
+    /// Starts a host. The script gets each call and the number of calls before it, and returns the reply.
     pub fn new(script: impl Fn(&ReceivedRequest, usize) -> Reply + Send + Sync + 'static) -> Host {
         Host::on(TcpListener::bind("127.0.0.1:0").unwrap(), Duration::ZERO, script)
     }
 
-    /// A host that takes no new connection for so long: its queue for them is full, and packets that open one are lost.
-    /// Whoever lost one tries again a second later (RFC 6298, 2.1).
+    /// Starts a host that accepts no connection during the first `for_ms` milliseconds: its accept queue is
+    /// full, so the SYN packets of new connections are lost. A client sends a lost SYN again after a second
+    /// (RFC 6298, 2.1).
     pub fn unresponsive(
         for_ms: u64, script: impl Fn(&ReceivedRequest, usize) -> Reply + Send + Sync + 'static,
     ) -> Host {
@@ -58,10 +65,10 @@
         socket.listen(0).unwrap();
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().unwrap();
-        // They fill the queue, and go once that is read.
+        // These connections fill the accept queue; they are closed when this function returns.
         let fill = |_| TcpStream::connect_timeout(&address, Duration::from_millis(100)).ok();
-        let fillers: Vec<_> = (0..4).map_while(fill).collect();
-        assert!(fillers.len() < 4, "the queue is full");
+        let filling: Vec<_> = (0..4).map_while(fill).collect();
+        assert!(filling.len() < 4, "the accept queue did not fill up: all connections were accepted");
         Host::on(listener, Duration::from_millis(for_ms), script)
     }
 
@@ -71,7 +78,7 @@
     ) -> Host {
         let host = Host {
             address: listener.local_addr().unwrap(),
-            heard: Arc::default(),
+            calls: Arc::default(),
             conns: Arc::default(),
             closed: Arc::default(),
             answers: Arc::default(),
@@ -88,24 +95,25 @@
         host
     }
 
+    /// Starts a host that answers each call with 200.
     pub fn ok() -> Host {
         Host::new(|_, _| Reply::Status(200))
     }
 
-    /// First the given replies, one a call, then 200.
+    /// Starts a host that gives these replies, one per call, and then answers each call with 200.
     pub fn first(replies: Vec<Reply>) -> Host {
-        Host::new(move |_, n| replies.get(n).cloned().unwrap_or(Reply::Status(200)))
+        Host::new(move |_, earlier_calls| replies.get(earlier_calls).cloned().unwrap_or(Reply::Status(200)))
     }
 
     fn serve(&self, stream: TcpStream, conn: usize, script: &Script) {
         let mut reader = BufReader::new(stream);
-        while let Some(heard) = receive(&mut reader, conn) {
-            let place = {
-                let mut all = self.heard.lock().unwrap();
-                all.push(heard.clone());
+        while let Some(call) = receive(&mut reader, conn) {
+            let earlier_calls = {
+                let mut all = self.calls.lock().unwrap();
+                all.push(call.clone());
                 all.len() - 1
             };
-            let reply = script(&heard, place);
+            let reply = script(&call, earlier_calls);
             let text = match &reply {
                 Reply::Status(status) => response(*status, ""),
                 Reply::With(status, headers) => response(*status, headers),
@@ -121,8 +129,8 @@
                 Reply::Raw(bytes) => bytes.to_string(),
                 Reply::Reset => return,
                 Reply::Silent => {
-                    // Until the relay gives up.
-                    let _nothing = reader.read(&mut [0; 1]);
+                    // Returns once the relay closes the connection.
+                    let _no_data = reader.read(&mut [0; 1]);
                     return;
                 }
             };
@@ -130,7 +138,7 @@
                 return;
             }
             let status = text.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
-            self.answers.lock().unwrap().push((heard.id().to_string(), status));
+            self.answers.lock().unwrap().push((call.id().to_string(), status));
             if matches!(reply, Reply::AndClose) {
                 std::thread::sleep(Duration::from_millis(150));
                 drop(reader);
@@ -140,33 +148,38 @@
         }
     }
 
+    /// Returns all calls so far.
     pub fn received(&self) -> Vec<ReceivedRequest> {
-        self.heard.lock().unwrap().clone()
+        self.calls.lock().unwrap().clone()
     }
 
+    /// Returns the number of calls answered so far.
     pub fn served(&self) -> usize {
         self.answers.lock().unwrap().len()
     }
 
+    /// Whether the host has answered a call for this message.
     pub fn answered(&self, id: &str) -> bool {
-        self.answers.lock().unwrap().iter().any(|a| a.0 == id)
+        self.answers.lock().unwrap().iter().any(|answer| answer.0 == id)
     }
 
-    /// Whether it has answered a call of this message with 200.
+    /// Whether the host has answered a call for this message with 200.
     pub fn delivered(&self, id: &str) -> bool {
-        self.answers.lock().unwrap().iter().any(|a| a.0 == id && a.1 == 200)
+        self.answers.lock().unwrap().iter().any(|answer| answer.0 == id && answer.1 == 200)
     }
 
-    /// Ids of all calls that it answered, and the statuses.
+    /// Returns the ids of all answered calls, and the statuses.
     pub fn all_answered(&self) -> Vec<(String, u16)> {
         self.answers.lock().unwrap().clone()
     }
 
+    /// Returns the number of calls received for a message.
     pub fn calls_of(&self, id: &str) -> usize {
-        self.received().iter().filter(|h| h.id() == id).count()
+        self.received().iter().filter(|call| call.id() == id).count()
     }
 
+    /// Waits until so many calls were received, and returns them all.
     pub fn wait_calls(&self, count: usize) -> Vec<ReceivedRequest> {
-        until(&format!("{count} calls"), || Some(self.received()).filter(|h| h.len() >= count))
+        until(&format!("{count} calls"), || Some(self.received()).filter(|calls| calls.len() >= count))
     }
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,4 +1,5 @@
-//! The relay as a process on loopback, and around it hosts, discovery and clients that give fixed replies.
+//! Test support: runs the relay as a process on loopback, with scripted partner hosts, a discovery agent and
+//! clients around it.
 mod agent;
 #[cfg(feature = "grpc")]
 pub mod grpc;
@@ -11,7 +12,7 @@
 pub use relay::{call, command, config, Client, Program, Relay};
 pub use wire::{receive, until, ReceivedRequest};
 
-/// The program as built along with a test or benchmark of its package.
+/// Returns the relay program that Cargo builds together with a test or benchmark of the program's package.
 #[macro_export]
 macro_rules! program {
     () => {
--- a/crates/testkit/src/relay.rs
+++ b/crates/testkit/src/relay.rs
@@ -1,4 +1,4 @@
-//! The relay's program as a process, its second address, and clients of it.
+//! Runs the relay program as a process; calls to its second address; clients.
 
 use crate::agent::Agent;
 use crate::host::Host;
@@ -12,26 +12,27 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// The relay's program, and where its folders go. See [`program!`].
+/// The relay program, and where its folders go. See [`program!`].
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The program's file.
+    /// The path of the executable.
     pub path: Cow<'static, str>,
-    /// A folder for what is of no use after the test.
+    /// A folder for files that are not needed after the test.
     pub tmp: Cow<'static, str>,
 }
 
 impl Program {
-    /// A program that was built before.
+    /// Returns the program at a path that is known at run time only.
     pub fn at(path: &str, tmp: &str) -> Program {
         Program { path: Cow::Owned(path.into()), tmp: Cow::Owned(tmp.into()) }
     }
 
-    /// See [`program!`].
+    /// Returns the program that Cargo builds with a test; called by [`program!`].
     pub const fn built(path: &'static str, tmp: &'static str) -> Program {
         Program { path: Cow::Borrowed(path), tmp: Cow::Borrowed(tmp) }
     }
 
+    /// Returns the command that starts the relay with the configuration and state in this folder.
     fn command(&self, folder: &Path) -> Command {
         let mut command = Command::new(&*self.path);
         for name in ["ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_CONTROL"] {
@@ -43,9 +44,10 @@
     }
 }
 
+/// Number of folders made by this process; gives each a name of its own.
 static FOLDERS: AtomicUsize = AtomicUsize::new(0);
 
-/// Calls a second address and gives the whole answer.
+/// Sends a line to a relay's second address and returns the whole answer.
 pub fn call(address: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
@@ -55,16 +57,20 @@
     answer
 }
 
-/// The program itself.
+/// A running relay process. Dropping it kills the process and removes its folder.
 pub struct Relay {
     program: Program,
     pub child: Child,
+    /// Where the relay listens for clients.
     pub address: SocketAddr,
+    /// Holds the configuration and the state; empty once another process goes on with them.
     pub folder: PathBuf,
+    /// Lines on standard error so far.
     log: Arc<Mutex<Vec<String>>>,
     agent: SocketAddr,
 }
 
+/// Returns a configuration with four classes (safe, keyed, unsafe, ordered) and this discovery agent.
 pub fn config(agent: SocketAddr) -> Value {
     let class = |name: &str, effect: &str, order: bool| {
         json!({"Name": name, "Effect": effect, "Group": "all", "AimMs": 300.0, "DeadlineMs": 5000.0,
@@ -86,33 +92,36 @@
                 "OrderPauseMs": 300.0}}})
 }
 
-/// A command with the environment of a relay, its configuration and its folder.
+/// Writes the configuration into a new folder. Returns the command that starts a relay there, and the folder.
 pub fn command(program: &Program, config: &Value) -> (Command, PathBuf) {
     let number = FOLDERS.fetch_add(1, Ordering::SeqCst);
     let folder = PathBuf::from(&*program.tmp).join(format!("{}-{number}", std::process::id()));
-    let _not_there = std::fs::remove_dir_all(&folder);
+    let _missing_is_fine = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(folder.join("state")).unwrap();
     std::fs::write(folder.join("config.json"), config.to_string()).unwrap();
     (program.command(&folder), folder)
 }
 
 impl Relay {
+    /// Starts a relay with the configuration of [`config`].
     pub fn start(program: Program, agent: &Agent) -> Relay {
         Relay::with(program, config(agent.address), agent)
     }
 
+    /// Starts a relay with this configuration.
     pub fn with(program: Program, config: Value, agent: &Agent) -> Relay {
         let (command, folder) = command(&program, &config);
         Relay::run(program, command, folder, agent.address)
     }
 
-    /// With arguments for the program.
+    /// Starts a relay with the configuration of [`config`] and command-line arguments.
     pub fn with_arguments(program: Program, agent: &Agent, arguments: &[&str]) -> Relay {
         let (mut command, folder) = command(&program, &config(agent.address));
         command.args(arguments);
         Relay::run(program, command, folder, agent.address)
     }
 
+    /// Starts the process, collects its log, and waits until it listens.
     fn run(program: Program, mut command: Command, folder: PathBuf, agent: SocketAddr) -> Relay {
         let mut child = command.spawn().unwrap();
         let stderr = BufReader::new(child.stderr.take().unwrap());
@@ -130,7 +139,7 @@
         Relay { program, child, address, folder, log, agent }
     }
 
-    /// The second address.
+    /// Waits until the second address is logged, and returns it.
     pub fn control(&self) -> SocketAddr {
         until("the second address", || {
             let lines = self.log.lock().unwrap();
@@ -138,36 +147,39 @@
         })
     }
 
-    /// Calls the second address and gives the whole answer.
+    /// Sends a line to the second address and returns the whole answer.
     pub fn call(&self, line: &str) -> String {
         call(self.control(), line)
     }
 
-    /// One figure; 0 if there is none by that name.
+    /// Returns the value of a metric; 0 if there is none by that name.
     pub fn figure(&self, name: &str) -> u64 {
         let vars = self.call("vars");
         let value = vars.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(' ')?.parse().ok());
         value.unwrap_or(0)
     }
 
-    pub fn logged(&self, words: &str) -> bool {
-        self.log.lock().unwrap().iter().any(|l| l.contains(words))
+    /// Whether any log line contains this text.
+    pub fn logged(&self, text: &str) -> bool {
+        self.log.lock().unwrap().iter().any(|line| line.contains(text))
     }
 
-    /// The lines of the audit about this message: each step's name and the whole step.
+    /// Returns the audit's lines about a message: each step's name, and the step as JSON.
     pub fn audit(&self, id: &str) -> Vec<(String, Value)> {
         let lines = self.log.lock().unwrap();
-        let steps = lines.iter().filter_map(|l| l.split_once("audit {"));
+        let steps = lines.iter().filter_map(|line| line.split_once("audit {"));
         let steps = steps.filter_map(|(_, rest)| serde_json::from_str::<Value>(&format!("{{{rest}")).ok());
         let of_id = steps.filter(|step| step["id"] == id);
         of_id.map(|step| (step["step"].as_str().unwrap_or_default().to_string(), step)).collect()
     }
 
+    /// Returns the path of the journal.
     pub fn journal(&self) -> PathBuf {
         self.folder.join("state/journal")
     }
 
-    /// SIGKILL, and then what the journal goes through before the next start.
+    /// Kills the process with SIGKILL, calls `meanwhile` with the journal's path, and starts the relay again
+    /// in the same folder.
     pub fn killed(mut self, meanwhile: impl FnOnce(&PathBuf)) -> Relay {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
@@ -176,72 +188,83 @@
         Relay::run(self.program.clone(), command, std::mem::take(&mut self.folder), self.agent)
     }
 
-    /// Another process with the same configuration and folder, which takes over from this one.
+    /// Starts another process with the same configuration and folder, which takes over from this one.
     pub fn beside(&mut self) -> Relay {
         let command = self.program.command(&self.folder);
         Relay::run(self.program.clone(), command, std::mem::take(&mut self.folder), self.agent)
     }
 
-    pub fn log_lines(&self, words: &str) -> usize {
-        self.log.lock().unwrap().iter().filter(|l| l.contains(words)).count()
+    /// Returns the number of log lines that contain this text.
+    pub fn log_lines(&self, text: &str) -> usize {
+        self.log.lock().unwrap().iter().filter(|line| line.contains(text)).count()
     }
 
+    /// Sends a signal, by its name without `SIG`.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
         assert!(Command::new("sh").args(["-c", &kill]).status().unwrap().success());
     }
 
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal("TERM");
     }
 
+    /// Waits until the process exits.
     pub fn wait_exit(&mut self) -> ExitStatus {
-        until("the relay's end", || self.child.try_wait().unwrap())
+        until("the relay's exit", || self.child.try_wait().unwrap())
     }
 
+    /// Opens a connection to the relay.
     pub fn client(&self) -> Client {
         Client(BufReader::new(TcpStream::connect(self.address).unwrap()))
     }
 
-    /// Hands one message in on a connection of its own.
+    /// Submits one message on a connection of its own, and returns the answer.
     pub fn submit(&self, class: &str, id: &str, dest: u64) -> ReceivedRequest {
         self.client().submit(class, id, dest, 4000, b"body")
     }
 
-    /// The same, again and again, until the relay has the destination's host in its list and takes it on.
+    /// Like [`Relay::submit`], repeated until the relay has the destination in its list and accepts the
+    /// message.
     pub fn submit_accepted_once_listed(&self, class: &str, id: &str, dest: u64) {
-        until("a listed destination", || (self.submit(class, id, dest).status() == 202).then_some(()));
+        until("the destination to be listed", || {
+            (self.submit(class, id, dest).status() == 202).then_some(())
+        });
     }
 
-    /// The same, and it must be taken on.
+    /// Like [`Relay::submit`]; panics unless the relay accepts the message.
     pub fn take(&self, class: &str, id: &str, dest: u64) {
-        assert_eq!(self.submit(class, id, dest).status(), 202, "{id} is taken on");
+        assert_eq!(self.submit(class, id, dest).status(), 202, "{id} was not accepted");
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        let _ended_already = self.child.kill();
+        let _already_exited = self.child.kill();
         let _reaped = self.child.wait();
         if !self.folder.as_os_str().is_empty() {
-            let _left = std::fs::remove_dir_all(&self.folder);
+            let _ignored = std::fs::remove_dir_all(&self.folder);
         }
     }
 }
 
-/// A client's connection.
+/// A client's connection to the relay.
 pub struct Client(pub BufReader<TcpStream>);
 
 impl Client {
+    /// Sends bytes as they are.
     pub fn send(&mut self, bytes: &[u8]) {
         self.0.get_mut().write_all(bytes).unwrap();
     }
 
+    /// Reads the next answer; `None` if the relay closed the connection, or after [`WAIT_LIMIT`].
     pub fn answer(&mut self) -> Option<ReceivedRequest> {
         self.0.get_mut().set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         receive(&mut self.0, 0)
     }
 
+    /// Submits a message and returns the answer. `budget` is in milliseconds.
     pub fn submit(&mut self, class: &str, id: &str, dest: u64, budget: u64, body: &[u8]) -> ReceivedRequest {
         let head = format!(
             "POST /{class} HTTP/1.1\r\nHost: api.internal\r\nX-Call-Id: {id}\r\nX-Caller: acme\r\n\
@@ -250,16 +273,16 @@
             body.len()
         );
         self.send(&[head.as_bytes(), body].concat());
-        self.answer().expect("an answer")
+        self.answer().expect("the relay closed the connection or did not answer in time")
     }
 }
 
 impl Host {
-    /// Hands in plain messages until one comes on a connection that carried another: the answer to that one,
-    /// and to what came before it, has been read.
+    /// Submits messages of class `safe` until one arrives on a connection that carried an earlier one. The
+    /// relay has then read the answers to that one and to all calls before it on the connection.
     pub fn wait_reuse(&self, relay: &Relay, dest: u64) {
         let start = self.received().len();
-        until("a connection used again", || {
+        until("a connection to be reused", || {
             let before = self.received().len();
             relay.take("safe", &format!("again-{before}"), dest);
             let calls = self.wait_calls(before + 1);
--- a/crates/testkit/src/wire.rs
+++ b/crates/testkit/src/wire.rs
@@ -1,49 +1,55 @@
-//! Messages as they stand on a socket, and waiting for what is to come.
+//! Reading HTTP messages off a socket, and waiting for conditions.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// What a condition may take to come true; far more than it should.
+/// Maximum time to wait for a condition: far longer than any should take, so that only a fault reaches it.
 pub const WAIT_LIMIT: Duration = Duration::from_secs(15);
 
-/// Waits until something is there.
+/// Calls `look` until it returns something, and returns that. Panics after [`WAIT_LIMIT`].
 pub fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
         if let Some(found) = look() {
             return found;
         }
-        assert!(start.elapsed() < WAIT_LIMIT, "never came: {what}");
+        assert!(start.elapsed() < WAIT_LIMIT, "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// A message as it stands on a socket: first line, headers by lower-case name, body.
+/// An HTTP request or response as received.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
+    /// When the message was received in full.
     pub at: Instant,
+    /// The request line or status line.
     pub line: String,
+    /// By lower-case name.
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
-    /// Which connection of the host it came on.
+    /// Number of the host's connection that it came on, counted from 0.
     pub conn: usize,
 }
 
 impl ReceivedRequest {
+    /// Returns a header's value; empty if there is none.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(&name.to_lowercase()).map_or("", |v| v.as_str())
     }
+    /// Returns the message's id: the value of `X-Call-Id`.
     pub fn id(&self) -> &str {
         self.header("x-call-id")
     }
+    /// Returns a response's status; 0 if the first line has none.
     pub fn status(&self) -> u16 {
         self.line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 }
 
-/// Reads one message off a stream. `None` once it has ended.
+/// Reads one HTTP message off a stream. `None` if the stream ends before the message does.
 pub fn receive(stream: &mut BufReader<TcpStream>, conn: usize) -> Option<ReceivedRequest> {
     let mut line = String::new();
     stream.read_line(&mut line).ok().filter(|n| *n > 0)?;
