--- a/crates/demo/src/demo.rs
+++ b/crates/demo/src/demo.rs
@@ -1,32 +1,33 @@
-//! The program beside stand-ins for discovery and two partners, on loopback, and a few
-//! messages. It prints how each ended.
+//! Runs the relay on loopback beside stand-ins for discovery and two partners, submits a few messages, and
+//! prints the final answer of each.
 
 use mulleinslip_testkit::{config, until, Agent, Host, Program, Relay, Reply};
 use std::time::Instant;
 
-/// Answers, takes time over it, loses an answer.
+/// Destination that answers after 20 ms, and closes the connection on some calls without an answer.
 const NORTH: u64 = 1;
-/// Tells the first that come to wait.
+/// Destination that answers its first call with 503 and `Retry-After`, and each later one with 200.
 const SOUTH: u64 = 2;
-/// In the list, with nobody to send to.
+/// Destination that is listed, but has no host to send to.
 const EAST: u64 = 3;
 
-/// What is handed in, and what it shows.
+/// The messages: id, class, destination, budget in milliseconds, and what the message shows.
 const MESSAGES: [(&str, &str, u64, u64, &str); 6] = [
-    ("order-1", "unsafe", NORTH, 4000, "an order, never to be sent twice"),
-    ("order-2", "keyed", SOUTH, 4000, "the partner tells a wait of 0.3 s: it is heeded, then delivered"),
-    ("order-3", "unsafe", NORTH, 1500, "the answer is lost: it may have run, so it is not sent again"),
-    ("stock-1", "safe", NORTH, 4000, "the answer is lost: safe to repeat, so it is sent again"),
-    ("stock-2", "safe", EAST, 400, "nobody to send to within its 0.4 s: its sender hears when to come again"),
-    ("stock-3", "safe", 99, 4000, "no such partner: refused before it is taken on"),
+    ("order-1", "unsafe", NORTH, 4000, "an order, which must never be sent twice"),
+    ("order-2", "keyed", SOUTH, 4000, "the partner sends Retry-After 0.3 s: delivered after that wait"),
+    ("order-3", "unsafe", NORTH, 1500, "the answer is lost: the order may have run, so it is not sent again"),
+    ("stock-1", "safe", NORTH, 4000, "the answer is lost: safe to repeat, so the relay retries"),
+    ("stock-2", "safe", EAST, 400, "no host to send to within its 0.4 s: the platform learns when to retry"),
+    ("stock-3", "safe", 99, 4000, "no such destination: rejected when submitted"),
 ];
 
-/// Runs it. The error is one line.
+/// Runs the demo. The error is one line for the user.
 pub fn run() -> Result<(), String> {
-    let program = std::env::current_exe().map_err(|e| format!("this program's file: {e}"))?;
-    let program = program.to_str().ok_or("this program's file has no plain name")?;
+    let program =
+        std::env::current_exe().map_err(|e| format!("cannot find the path of this program: {e}"))?;
+    let program = program.to_str().ok_or("the path of this program is not valid UTF-8")?;
     let tmp = std::env::temp_dir();
-    let tmp = tmp.to_str().ok_or("the temporary folder has no plain name")?;
+    let tmp = tmp.to_str().ok_or("the path of the temporary folder is not valid UTF-8")?;
     let start = Instant::now();
     let north = Host::new(move |call, _| match call.id() {
         "order-3" => Reply::Reset,
@@ -37,39 +38,41 @@
     let agent = Agent::new(&[("north", NORTH, &north), ("south", SOUTH, &south)]);
     agent.hold(EAST);
     let relay = Relay::with(Program::at(program, tmp), config(agent.address), &agent);
-    println!("the relay listens on {}, with a journal in {}", relay.address, relay.folder.display());
+    println!("the relay listens on {}, with its journal under {}", relay.address, relay.folder.display());
     println!("{:>7}  {:<8} {:<7} answer", "ms", "message", "class");
-    let at = || start.elapsed().as_millis();
-    until("the list", || (relay.submit("safe", "first", NORTH).status() == 202).then_some(()));
-    let mut open = Vec::new();
+    let elapsed_ms = || start.elapsed().as_millis();
+    until("the relay to receive the list", || {
+        (relay.submit("safe", "first", NORTH).status() == 202).then_some(())
+    });
+    let mut pending = Vec::new();
     for (id, class, dest, budget, shows) in MESSAGES {
-        let heard = relay.client().submit(class, id, dest, budget, b"tyres, 4 of them");
-        let words = match heard.status() {
-            202 => "202, taken on".to_string(),
-            status => format!("{status}, come again in {} s", heard.header("retry-after")),
+        let answer = relay.client().submit(class, id, dest, budget, b"tyres, 4 of them");
+        let result = match answer.status() {
+            202 => "202, accepted".to_string(),
+            status => format!("{status}, retry after {} s", answer.header("retry-after")),
         };
-        println!("{:>7}  {id:<8} {class:<7} {words}; {shows}", at());
-        if heard.status() == 202 {
-            open.push(id);
+        println!("{:>7}  {id:<8} {class:<7} {result}; {shows}", elapsed_ms());
+        if answer.status() == 202 {
+            pending.push(id);
         }
     }
-    // Each that was taken on ends by a partner's 200 or by a notice to the platform.
-    while !open.is_empty() {
-        let (id, end) = until("the ends", || {
-            open.iter().find_map(|id| {
-                let tries = || format!("{} attempts", north.calls_of(id) + south.calls_of(id));
+    // Each accepted message ends with a partner's 200 or with a notice to the platform.
+    while !pending.is_empty() {
+        let (id, ending) = until("a final answer", || {
+            pending.iter().find_map(|id| {
+                let attempts = || format!("{} attempts", north.calls_of(id) + south.calls_of(id));
                 if north.delivered(id) || south.delivered(id) {
-                    return Some((*id, format!("delivered after {}", tries())));
+                    return Some((*id, format!("delivered after {}", attempts())));
                 }
                 let notice = agent.notices_of(id).into_iter().next()?;
-                let again = notice["again_ms"].as_u64();
-                let again = again.map(|ms| format!(", come again in {ms} ms")).unwrap_or_default();
+                let retry_after = notice["again_ms"].as_u64();
+                let retry_after = retry_after.map(|ms| format!(", retry after {ms} ms")).unwrap_or_default();
                 let status = notice["status"].as_str().unwrap_or_default().to_string();
-                Some((*id, format!("{status}{again}, after {}", tries())))
+                Some((*id, format!("{status}{retry_after}, after {}", attempts())))
             })
         });
-        println!("{:>7}  {id:<8}         {end}", at());
-        open.retain(|x| *x != id);
+        println!("{:>7}  {id:<8}         {ending}", elapsed_ms());
+        pending.retain(|other| *other != id);
     }
     println!("each message got exactly one final answer");
     Ok(())
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -1,5 +1,5 @@
-//! `mulleinslip demo`. It is the relay itself as well: the stand-ins run in one process, the relay in a second one of
-//! the same program, which the environment tells to serve.
+//! Demonstration of the relay. The program runs as two processes: the first has the stand-ins and starts the
+//! second, which is the relay. `ROUTER_CONFIG` in the environment makes a process the relay.
 mod demo;
 
 fn main() -> std::process::ExitCode {
@@ -8,8 +8,8 @@
     }
     match demo::run() {
         Ok(()) => std::process::ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("mulleinslip demo: {why}");
+        Err(error) => {
+            eprintln!("mulleinslip demo: {error}");
             std::process::ExitCode::FAILURE
         }
     }
