--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -1,13 +1,15 @@
+//! The command `mulleinslip-scale`: runs a plan, prints the report and checks the budgets.
+
 use clap::{Parser, Subcommand};
 use mulleinslip_scale::{plan::Plan, report, run};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Counts what is allocated, so that memory is told in bytes that do not depend on the machine.
+/// Counts allocations, so that memory is measured in bytes that do not depend on the machine.
 #[global_allocator]
 static ALLOCATED: &stats_alloc::StatsAlloc<std::alloc::System> = &stats_alloc::INSTRUMENTED_SYSTEM;
 
-/// What the fleet costs at the size of a plan.
+/// Measures what a fleet of relays costs at the sizes of a plan.
 #[derive(Parser)]
 #[command(version)]
 struct Args {
@@ -17,11 +19,11 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs a plan; fails if a budget is broken.
+    /// Runs a plan; fails if a budget is exceeded.
     Run {
         /// The plan, as JSON5.
         plan: PathBuf,
-        /// Where plots of the slopes go, as SVG.
+        /// Folder for plots of each figure by size, as SVG.
         #[arg(long)]
         out: Option<PathBuf>,
     },
@@ -29,7 +31,7 @@
 
 fn main() -> ExitCode {
     let Command::Run { plan, out } = Args::parse().command;
-    let done = Plan::read(&plan).and_then(|plan| {
+    let result = Plan::read(&plan).and_then(|plan| {
         let heap = || {
             let stats = ALLOCATED.stats();
             stats.bytes_allocated.saturating_sub(stats.bytes_deallocated)
@@ -39,13 +41,13 @@
         if let Some(out) = out {
             report::plots(&out, &measured)?;
         }
-        Ok(report::verdicts(&plan, &measured).iter().all(|v| v.kept != Some(false)))
+        Ok(report::verdicts(&plan, &measured).iter().all(|v| v.within_budget != Some(false)))
     });
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(why) => {
-            eprintln!("mulleinslip-scale: {why}");
+        Err(error) => {
+            eprintln!("mulleinslip-scale: {error}");
             ExitCode::from(2)
         }
     }
--- a/crates/scale/src/plan.rs
+++ b/crates/scale/src/plan.rs
@@ -1,4 +1,4 @@
-//! What is to be run, and the budgets.
+//! Plans: what to run, and the budgets.
 
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
@@ -7,55 +7,57 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Plan {
-    /// For all that is random.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Relays of the fleet.
+    /// Number of relays in the fleet.
     pub relays: usize,
-    /// Hollow relays that are made whole, at each size.
+    /// Number of simulated relays built at each size.
     pub hollow: usize,
-    /// Destinations: a slope is measured over these sizes, four at the least.
+    /// Numbers of destinations to measure at; at least four, so that a line can be fitted.
     pub destinations: Vec<usize>,
-    /// Hosts of each destination.
+    /// Number of hosts per destination.
     pub hosts: usize,
     pub zones: usize,
+    /// Number of regions; each has its own discovery and an equal share of the relays.
     pub regions: usize,
-    /// Share of the destinations that are down at any time.
+    /// Share of the destinations that is down at any time.
     pub down: f64,
-    /// How long an outage lasts, in seconds.
+    /// Duration of an outage, in seconds.
     pub outage_s: f64,
-    /// Changes of configuration a day, and in what time they are to be in force.
+    /// Configuration changes per day; `in_force_s` is the budget for the time until each is in force.
     pub changes_a_day: f64,
-    /// Zipf's exponent of the traffic over destinations; 0 is even.
+    /// Exponent of the Zipf distribution of traffic over destinations; 0 is uniform.
     pub skew: f64,
-    /// Messages a second at one relay, and for how long they are simulated, in seconds.
+    /// Messages per second at one relay.
     pub events: f64,
+    /// Simulated duration of the traffic, in seconds.
     pub seconds: f64,
-    /// Memory of a relay in MB: it bounds how many destinations are in use at once.
+    /// Memory of a relay in MB; limits how many destinations are in use at once.
     pub memory_mb: f64,
-    /// What discovery answers a second in one region.
+    /// Calls per second that discovery can answer in one region.
     pub answers: f64,
-    /// Sizes at which the program itself runs beside; none, where it is not to.
+    /// Numbers of destinations at which the program itself is measured too; empty for none.
     pub real: Vec<usize>,
-    /// The program.
+    /// Path of the relay program.
     pub program: PathBuf,
     pub budgets: Budgets,
 }
 
-/// A budget that is left out is not looked at.
+/// Budgets. One that is left out is not checked.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Budgets {
-    /// Memory of a relay for control, in MB.
+    /// Memory of a relay for the control plane, in MB.
     pub memory_mb: Option<f64>,
-    /// Of a core, for control.
+    /// CPU of a relay for the control plane, as a share of a core.
     pub cpu: Option<f64>,
-    /// Bytes a second of a relay for control.
+    /// Bytes per second of a relay for the control plane.
     pub bytes: Option<f64>,
-    /// From a change at discovery to the last relay, in seconds.
+    /// Time from a change at discovery until the last relay has received it, in seconds.
     pub in_force_s: Option<f64>,
-    /// CPU of one change, in microseconds.
+    /// CPU time for one change, in microseconds.
     pub change_us: Option<f64>,
-    /// CPU of a start, in seconds.
+    /// CPU time of a start, in seconds.
     pub start_s: Option<f64>,
 }
 
@@ -85,13 +87,13 @@
 }
 
 impl Plan {
-    /// Reads and checks a plan. The error names the place, the value and what is allowed.
+    /// Reads and checks a plan. The error names the field, the value and what is allowed.
     pub fn read(path: &Path) -> Result<Plan, String> {
         let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
         Plan::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
     }
 
-    /// The same of a text.
+    /// Parses and checks a plan.
     pub fn parse(text: &str) -> Result<Plan, String> {
         let plan: Plan = json5::from_str(text).map_err(|e| e.to_string())?;
         let within = |name: &str, value: f64, low: f64, high: f64| match (low..=high).contains(&value) {
@@ -101,8 +103,8 @@
         within("relays", plan.relays as f64, 1.0, 100_000.0)?;
         within("hollow", plan.hollow as f64, 1.0, 400.0)?;
         within("destinations (how many sizes)", plan.destinations.len() as f64, 4.0, 20.0)?;
-        for n in plan.destinations.iter().chain(&plan.real) {
-            within("destinations", *n as f64, 10.0, 1e6)?;
+        for count in plan.destinations.iter().chain(&plan.real) {
+            within("destinations", *count as f64, 10.0, 1e6)?;
         }
         within("hosts", plan.hosts as f64, 1.0, 64.0)?;
         within("zones", plan.zones as f64, 1.0, 1000.0)?;
@@ -118,8 +120,9 @@
         Ok(plan)
     }
 
-    /// Changes of state a second, as outages begin and end, at this many destinations.
-    pub fn changes_a_second(&self, destinations: usize) -> f64 {
+    /// Returns the changes of the list per second with this many destinations: the start and end of each
+    /// outage, and the configuration changes.
+    pub fn changes_per_second(&self, destinations: usize) -> f64 {
         2.0 * destinations as f64 * self.down / self.outage_s + self.changes_a_day / 86_400.0
     }
 }
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -1,91 +1,104 @@
-//! Carries a plan out.
+//! Runs a plan.
 
-use crate::hollow::{Counts, Hollow};
 use crate::plan::Plan;
-use crate::real::{self, Real};
-use crate::spread::{spread, Spread};
-use crate::world::{Traffic, World};
+use crate::propagation::{simulate_propagation, Propagation};
+use crate::real::{self, RealRelay};
+use crate::simulated_hosts::{SimulatedHosts, Traffic};
+use crate::simulated_relay::{Counts, SimulatedRelay};
 use mulleinslip_membership::{Entry, Status};
 use std::collections::HashMap;
 use std::time::Instant;
 
-/// What a relay keeps in use, as the program reckons it from its memory.
-const USED_BYTES: f64 = 16.0 * 4000.0;
-/// Changes that are told at each size.
+/// Memory of a relay per destination in use; the program derives its number of destinations in use alike.
+const ACTIVE_DESTINATION_BYTES: f64 = 16.0 * 4000.0;
+/// Number of list changes at each size.
 const CHANGES: u64 = 2000;
-/// Seconds over which the spread of news is simulated.
-const SPREAD_S: u64 = 60;
+/// Simulated time of the propagation of changes.
+const PROPAGATION_S: u64 = 60;
 
-/// Of one size, each for one relay.
+/// Measurements at one size, per relay.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub struct SizeMeasurement {
     pub destinations: usize,
-    pub used: usize,
-    /// After the list, and after the traffic, in bytes of the heap; the catalog by its own count.
+    /// Destinations in use.
+    pub active: usize,
+    /// Heap after the full list.
     pub listed_bytes: f64,
+    /// Heap after the traffic.
     pub traffic_bytes: f64,
+    /// Size of the catalog, by its own count.
     pub catalog_bytes: f64,
-    /// The same hosts in a plain map by name, in bytes of the heap.
+    /// Heap of a plain map by name with the same hosts, for comparison.
     pub plain_bytes: f64,
+    /// Size of the full list as JSON.
     pub list_bytes: f64,
-    /// Seconds of CPU for the whole list, from its text on.
+    /// Time to parse and apply the full list, in seconds.
     pub start_s: f64,
-    /// One change, from its text on, in microseconds.
+    /// Time to parse and apply one change, in microseconds.
     pub change_us: f64,
-    /// One message with its call, in microseconds.
+    /// Time for one message with its call, in microseconds.
     pub message_us: f64,
-    /// A second of changes at the plan's rate, as a share of a core.
+    /// CPU for changes at the plan's rate, as a share of a core.
     pub control_cpu: f64,
     pub counts: Counts,
 }
 
-/// All that was measured.
+/// All measurements of a plan.
 pub struct Measured {
-    pub sizes: Vec<Size>,
-    pub real: Vec<Real>,
-    pub spread: Spread,
+    pub sizes: Vec<SizeMeasurement>,
+    pub real: Vec<RealRelay>,
+    pub propagation: Propagation,
+    /// Size of a change with one entry as JSON.
     pub entry_bytes: f64,
-    pub changes_a_second: f64,
+    pub changes_per_second: f64,
 }
 
-/// Runs a plan. `heap` tells the bytes that are allocated.
+/// Runs a plan. `heap` returns the number of bytes allocated.
 pub fn run(plan: &Plan, heap: &dyn Fn() -> usize) -> Result<Measured, String> {
-    let sizes = plan.destinations.iter().map(|n| size(plan, *n, heap)).collect::<Result<Vec<_>, _>>()?;
-    let real = plan.real.iter().map(|n| real::measure(plan, *n)).collect::<Result<Vec<_>, _>>()?;
-    let most = plan.destinations.iter().copied().max().unwrap_or(0);
-    let mut world = World::new(most, plan.hosts, plan.zones);
-    let entry = serde_json::to_string(&world.change(1, Status::Active, None)).map_err(|e| e.to_string())?;
+    let sizes = plan
+        .destinations
+        .iter()
+        .map(|count| measure_size(plan, *count, heap))
+        .collect::<Result<Vec<_>, _>>()?;
+    let real = plan.real.iter().map(|count| real::measure(plan, *count)).collect::<Result<Vec<_>, _>>()?;
+    let max_destinations = plan.destinations.iter().copied().max().unwrap_or(0);
+    let mut hosts = SimulatedHosts::new(max_destinations, plan.hosts, plan.zones);
+    let entry =
+        serde_json::to_string(&hosts.change_status(1, Status::Active, None)).map_err(|e| e.to_string())?;
     let entry_bytes = entry.len() as f64;
-    let changes_a_second = plan.changes_a_second(most);
-    let spread = spread(plan, changes_a_second, entry_bytes, SPREAD_S)?;
-    Ok(Measured { sizes, real, spread, entry_bytes, changes_a_second })
+    let changes_per_second = plan.changes_per_second(max_destinations);
+    let propagation = simulate_propagation(plan, changes_per_second, entry_bytes, PROPAGATION_S)?;
+    Ok(Measured { sizes, real, propagation, entry_bytes, changes_per_second })
 }
 
-fn size(plan: &Plan, destinations: usize, heap: &dyn Fn() -> usize) -> Result<Size, String> {
-    let mut world = World::new(destinations, plan.hosts, plan.zones);
-    let text = serde_json::to_string(&world.whole(None)).map_err(|e| e.to_string())?;
+fn measure_size(
+    plan: &Plan, destinations: usize, heap: &dyn Fn() -> usize,
+) -> Result<SizeMeasurement, String> {
+    let mut hosts = SimulatedHosts::new(destinations, plan.hosts, plan.zones);
+    let text = serde_json::to_string(&hosts.full_list(None)).map_err(|e| e.to_string())?;
     let before = heap();
     let plain: HashMap<String, Entry> =
-        world.whole(None).endpoints.into_iter().map(|e| (e.name.clone(), e)).collect();
+        hosts.full_list(None).endpoints.into_iter().map(|e| (e.name.clone(), e)).collect();
     let plain_bytes = heap().saturating_sub(before) as f64;
     drop(plain);
-    let max_active_destinations = ((plan.memory_mb * 1e6 / USED_BYTES) as usize).max(1024);
-    let count = plan.hollow as f64;
+    let max_active_destinations = ((plan.memory_mb * 1e6 / ACTIVE_DESTINATION_BYTES) as usize).max(1024);
+    let relay_count = plan.hollow as f64;
     let before = heap();
-    let mut relays: Vec<Hollow> =
-        (0..plan.hollow).map(|n| Hollow::new(max_active_destinations, plan.seed + n as u64)).collect();
+    let mut relays: Vec<SimulatedRelay> = (0..plan.hollow)
+        .map(|n| SimulatedRelay::new(max_active_destinations, plan.seed + n as u64))
+        .collect();
     let (mut start_s, mut now) = (0.0, 1000.0);
     for relay in &mut relays {
         let began = Instant::now();
         let list = serde_json::from_str(&text).map_err(|e| e.to_string())?;
-        relay.told(now, list, &world);
-        start_s += began.elapsed().as_secs_f64() / count;
+        relay.apply_list(now, list, &hosts);
+        start_s += began.elapsed().as_secs_f64() / relay_count;
     }
-    let listed_bytes = heap().saturating_sub(before) as f64 / count;
+    let listed_bytes = heap().saturating_sub(before) as f64 / relay_count;
     let changes: Vec<String> = (0..CHANGES)
-        .map(|n| {
-            let status = if n % 2 == 0 { Status::Leaving } else { Status::Active };
-            let change = world.change((n / 2 * 7919) % destinations as u64, status, None);
+        .map(|number| {
+            let status = if number % 2 == 0 { Status::Leaving } else { Status::Active };
+            let change = hosts.change_status((number / 2 * 7919) % destinations as u64, status, None);
             serde_json::to_string(&change).map_err(|e| e.to_string())
         })
         .collect::<Result<_, _>>()?;
@@ -93,16 +106,16 @@
     for change in &changes {
         now += 1.0;
         for relay in &mut relays {
-            relay.told(now, serde_json::from_str(change).map_err(|e| e.to_string())?, &world);
+            relay.apply_list(now, serde_json::from_str(change).map_err(|e| e.to_string())?, &hosts);
         }
     }
-    let change_us = began.elapsed().as_secs_f64() * 1e6 / CHANGES as f64 / count;
+    let change_us = began.elapsed().as_secs_f64() * 1e6 / CHANGES as f64 / relay_count;
     drop(changes);
     let step = (1.0 / plan.down.max(1e-9)).round().max(2.0) as u64;
     (0..destinations as u64)
         .step_by(step as usize)
         .filter(|_| plan.down > 0.0)
-        .for_each(|d| world.set_down(d, true));
+        .for_each(|d| hosts.set_down(d, true));
     let mut traffic = Traffic::new(destinations, plan.skew, plan.seed)?;
     let messages = (plan.events * plan.seconds) as u64;
     let began = Instant::now();
@@ -110,17 +123,17 @@
         let mut at = now;
         for _ in 0..messages {
             at += 1000.0 / plan.events.max(1e-9);
-            relay.advance(at, &world);
-            relay.message(at, traffic.draw(), &world);
+            relay.advance(at, &hosts);
+            relay.submit(at, traffic.next_destination(), &hosts);
         }
-        relay.advance(at + 10_000.0, &world);
+        relay.advance(at + 10_000.0, &hosts);
     }
-    let message_us = began.elapsed().as_secs_f64() * 1e6 / messages.max(1) as f64 / count;
-    let traffic_bytes = heap().saturating_sub(before) as f64 / count;
-    let first = relays.first().ok_or("no relay")?;
-    Ok(Size {
+    let message_us = began.elapsed().as_secs_f64() * 1e6 / messages.max(1) as f64 / relay_count;
+    let traffic_bytes = heap().saturating_sub(before) as f64 / relay_count;
+    let first = relays.first().ok_or("the plan has no simulated relay")?;
+    Ok(SizeMeasurement {
         destinations,
-        used: first.used(),
+        active: first.active_destinations(),
         listed_bytes,
         traffic_bytes,
         catalog_bytes: first.catalog_bytes() as f64,
@@ -129,7 +142,7 @@
         start_s,
         change_us,
         message_us,
-        control_cpu: change_us * plan.changes_a_second(destinations) / 1e6,
+        control_cpu: change_us * plan.changes_per_second(destinations) / 1e6,
         counts: first.counts,
     })
 }
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/simulated_relay.rs
@@ -1,6 +1,7 @@
-//! A relay without sockets: the real view, the carrier's tables, the engine and the decision module. Calls end as the world has it.
+//! A relay without sockets: the real membership view, carrier tables, engine and decision module. Calls end
+//! as the simulated hosts say.
 
-use crate::world::World;
+use crate::simulated_hosts::SimulatedHosts;
 use linenhall::{Class, DedupScope, Effect, Outcome, Settings, ValueDecay};
 use mulleinslip_engine::{AttemptEnd, Engine, Input, Message, Names, Output, VolatileStore};
 use mulleinslip_http::{CarrierSettings, HttpCarrier};
@@ -12,28 +13,30 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a delivery takes, and how soon a call to a destination that is down is refused, in milliseconds.
-const TOOK_MS: (f64, f64) = (20.0, 1.0);
-/// Each message may be delivered for so long.
+/// Duration of a delivery, and of a failed connection to a destination that is down.
+const CALL_DURATION_MS: (f64, f64) = (20.0, 1.0);
 const DEADLINE_MS: f64 = 5000.0;
 
-/// What became of messages and calls.
+/// Counts of messages and calls.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     pub messages: u64,
     pub calls: u64,
+    /// Attempts that ended without a delivery.
     pub lost: u64,
-    pub enlisted: u64,
+    /// Number of times that a destination came into use.
+    pub activated: u64,
 }
 
-pub struct Hollow {
+/// A simulated relay. Times are in milliseconds.
+pub struct SimulatedRelay {
     view: Rc<RefCell<View>>,
     carrier: HttpCarrier,
     engine: Engine<VolatileStore, ()>,
     agent: SocketAddr,
-    /// Calls that are out, by the time at which they end.
-    out: BTreeMap<(u64, u64), (u64, u32, Outcome)>,
-    next: u64,
+    /// Calls in flight, by the time in microseconds at which they end and their number.
+    in_flight: BTreeMap<(u64, u64), (u64, u32, Outcome)>,
+    calls_started: u64,
     pub counts: Counts,
 }
 
@@ -72,9 +75,9 @@
     }
 }
 
-impl Hollow {
-    /// One that keeps so many destinations in use.
-    pub fn new(max_active_destinations: usize, seed: u64) -> Hollow {
+impl SimulatedRelay {
+    /// Creates a relay with at most this many destinations in use, as long as those in use may be forgotten.
+    pub fn new(max_active_destinations: usize, seed: u64) -> SimulatedRelay {
         let view = Rc::new(RefCell::new(View::new(Vec::new(), max_active_destinations)));
         let names = ListNames { zones: Vec::new(), kinds: vec!["m2".into()] };
         let carrier = HttpCarrier::new(
@@ -91,35 +94,43 @@
         let names = Names { classes: vec!["safe".into()], tenants: Vec::new() };
         let engine = Engine::new(settings(), seed, names, VolatileStore);
         let agent = SocketAddr::from(([127, 0, 0, 1], 1));
-        Hollow { view, carrier, engine, agent, out: BTreeMap::new(), next: 0, counts: Counts::default() }
+        SimulatedRelay {
+            view,
+            carrier,
+            engine,
+            agent,
+            in_flight: BTreeMap::new(),
+            calls_started: 0,
+            counts: Counts::default(),
+        }
     }
 
-    /// Destinations in use.
-    pub fn used(&self) -> usize {
+    /// Returns the number of destinations in use.
+    pub fn active_destinations(&self) -> usize {
         self.view.borrow().used()
     }
 
-    /// What the catalog says of its own size, in bytes.
+    /// Returns the size of the catalog in bytes, by its own count.
     pub fn catalog_bytes(&self) -> usize {
         self.view.borrow().members().catalog().bytes()
     }
 
-    /// An agent tells something.
-    pub fn told(&mut self, now: f64, list: List, world: &World) {
-        let told = self.view.borrow_mut().apply(self.agent, list, now);
-        if let Some(told) = told {
-            self.carrier.stop_sending_to_drained(&told.list);
-            let news = self.carrier.apply_list(told.list);
-            self.round(now, vec![Input::ListUpdate(news)], world);
+    /// Applies a list or a change from discovery.
+    pub fn apply_list(&mut self, now: f64, list: List, hosts: &SimulatedHosts) {
+        let update = self.view.borrow_mut().apply(self.agent, list, now);
+        if let Some(update) = update {
+            self.carrier.stop_sending_to_drained(&update.list);
+            let list_update = self.carrier.apply_list(update.list);
+            self.round(now, vec![Input::ListUpdate(list_update)], hosts);
         }
     }
 
-    /// A message is handed in.
-    pub fn message(&mut self, now: f64, destination: u64, world: &World) {
+    /// Submits a message.
+    pub fn submit(&mut self, now: f64, destination: u64, hosts: &SimulatedHosts) {
         self.counts.messages += 1;
         let mut inputs = Vec::with_capacity(2);
         if let Some(list) = self.carrier.activate(destination) {
-            self.counts.enlisted += 1;
+            self.counts.activated += 1;
             inputs.push(Input::ListUpdate(self.carrier.apply_list(list)));
         }
         let message = Message {
@@ -133,54 +144,57 @@
             body: Default::default(),
         };
         inputs.push(Input::Submitted(Box::new(message), ()));
-        self.round(now, inputs, world);
+        self.round(now, inputs, hosts);
     }
 
-    /// Time goes on: calls end, timers are due.
-    pub fn advance(&mut self, now: f64, world: &World) {
-        while let Some(((at, number), (id, attempt, outcome))) = self.out.pop_first() {
-            let ends = at as f64 / 1000.0;
-            if ends > now {
-                self.out.insert((at, number), (id, attempt, outcome));
+    /// Ends all calls that are due by `now`, then runs timers that are due.
+    pub fn advance(&mut self, now: f64, hosts: &SimulatedHosts) {
+        while let Some(((at_us, number), (id, attempt, outcome))) = self.in_flight.pop_first() {
+            let ends_at = at_us as f64 / 1000.0;
+            if ends_at > now {
+                self.in_flight.insert((at_us, number), (id, attempt, outcome));
                 break;
             }
             let settled = outcome == Outcome::Delivered;
             let end = AttemptEnd { settled, ..AttemptEnd::without_response(outcome) };
-            let took_ms = if settled { TOOK_MS.0 } else { TOOK_MS.1 };
+            let took_ms = if settled { CALL_DURATION_MS.0 } else { CALL_DURATION_MS.1 };
             self.counts.lost += u64::from(!settled);
-            self.round(ends, vec![Input::Ended { id, attempt, took_ms, end }], world);
+            self.round(ends_at, vec![Input::Ended { id, attempt, took_ms, end }], hosts);
         }
         if self.engine.next_timer().is_some_and(|at| at <= now) {
-            self.round(now, Vec::new(), world);
+            self.round(now, Vec::new(), hosts);
         }
     }
 
-    fn round(&mut self, now: f64, inputs: Vec<Input<(), ()>>, world: &World) {
-        let mut wanted: Vec<Output<(), ()>> = Vec::new();
-        self.engine.handle(now, inputs, &mut wanted);
+    /// Runs one round of the engine and starts the calls that it asks for.
+    fn round(&mut self, now: f64, inputs: Vec<Input<(), ()>>, hosts: &SimulatedHosts) {
+        let mut outputs: Vec<Output<(), ()>> = Vec::new();
+        self.engine.handle(now, inputs, &mut outputs);
         let mut confirmed = Vec::new();
-        for output in wanted {
+        for output in outputs {
             match output {
-                Output::Attempt(a) => {
-                    let begins = self.engine.begin(now, a.id, a.attempt, &a.endpoint).is_ok();
-                    let down = world.is_down(a.destination);
-                    let (outcome, took) = match begins {
+                Output::Attempt(attempt) => {
+                    let has_begun =
+                        self.engine.begin(now, attempt.id, attempt.attempt, &attempt.endpoint).is_ok();
+                    let down = hosts.is_down(attempt.destination);
+                    let (outcome, took_ms) = match has_begun {
                         false => (Outcome::NotSent, 0.0),
-                        true if down => (Outcome::NoConnection, TOOK_MS.1),
-                        true => (Outcome::Delivered, TOOK_MS.0),
+                        true if down => (Outcome::NoConnection, CALL_DURATION_MS.1),
+                        true => (Outcome::Delivered, CALL_DURATION_MS.0),
                     };
-                    self.counts.calls += u64::from(begins);
-                    self.next += 1;
-                    let ends = ((now + took) * 1000.0) as u64;
-                    self.out.insert((ends, self.next), (a.id, a.attempt, outcome));
+                    self.counts.calls += u64::from(has_begun);
+                    self.calls_started += 1;
+                    let ends_at_us = ((now + took_ms) * 1000.0) as u64;
+                    self.in_flight
+                        .insert((ends_at_us, self.calls_started), (attempt.id, attempt.attempt, outcome));
                 }
                 Output::Reply(mulleinslip_engine::FrontReply::Final { id, .. }) => confirmed.push(id),
                 _ => {}
             }
         }
         if !confirmed.is_empty() {
-            let mut more: Vec<Output<(), ()>> = Vec::new();
-            self.engine.handle(now, [Input::AnswersConfirmed(confirmed)], &mut more);
+            let mut ignored: Vec<Output<(), ()>> = Vec::new();
+            self.engine.handle(now, [Input::AnswersConfirmed(confirmed)], &mut ignored);
         }
         let engine = RefCell::new(&mut self.engine);
         self.carrier.forget(&mut |destination| engine.borrow_mut().forget(now, destination));
--- a/crates/scale/tests/plans.rs
+++ b/crates/scale/tests/plans.rs
@@ -1,5 +1,6 @@
-//! A small plan from end to end, with figures that do not depend on the machine, and what is said of plans that can't be run.
-use mulleinslip_scale::{plan::Plan, report, run, slope, spread};
+//! Runs a small plan from end to end, checks figures that do not depend on the machine, and the errors for
+//! plans that can't be run.
+use mulleinslip_scale::{plan::Plan, propagation, report, run, slope};
 use std::path::Path;
 
 #[global_allocator]
@@ -10,56 +11,85 @@
     stats.bytes_allocated - stats.bytes_deallocated
 }
 
-/// One test, as the heap is the whole process's.
+/// Guards against a relay that grows beyond its budgets: a listed destination costs more than its entry in
+/// the catalog, too many destinations stay in use, or a change or its propagation costs more. Guards too
+/// against runs that differ with the same seed, and against a broken budget that is not reported. It is one
+/// test, as the heap is that of the whole process.
 #[test]
-fn the_small_plan_keeps_its_budgets_and_its_counts_come_again() {
+fn small_plan_keeps_its_budgets_and_repeats_its_counts() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/scale/small.json5");
     let plan = Plan::read(&file).unwrap();
-    let m = run::run(&plan, &heap).unwrap();
-    let text = report::table(&plan, &m);
+    let measured = run::run(&plan, &heap).unwrap();
+    let text = report::table(&plan, &measured);
     println!("{text}");
-    for v in report::verdicts(&plan, &m) {
-        assert_ne!(v.kept, Some(false), "{}: {} of {:?}\n{text}", v.what, v.measured, v.budget);
+    for verdict in report::verdicts(&plan, &measured) {
+        assert_ne!(
+            verdict.within_budget,
+            Some(false),
+            "budget exceeded: {}: {} of {:?}\n{text}",
+            verdict.name,
+            verdict.measured,
+            verdict.budget
+        );
     }
-    for size in &m.sizes {
-        let n = size.destinations;
-        // Room for 1,024; a few more while they may not be forgotten.
-        assert!(size.used <= 1024 + 60 && size.used >= n.min(1000), "{n}: {} in use", size.used);
-        assert!(size.catalog_bytes / (n as f64) < 110.0, "{n}: {} bytes of catalog", size.catalog_bytes);
+    for size in &measured.sizes {
+        let count = size.destinations;
+        // At most 1,024 are in use, and a few more as long as they may not be forgotten.
+        assert!(
+            size.active <= 1024 + 60 && size.active >= count.min(1000),
+            "{count} destinations: {} in use",
+            size.active
+        );
+        assert!(
+            size.catalog_bytes / (count as f64) < 110.0,
+            "{count} destinations: the catalog takes {} bytes",
+            size.catalog_bytes
+        );
         assert!(
             size.plain_bytes > 2.0 * size.catalog_bytes,
-            "{n}: {} bytes in a plain map",
+            "{count} destinations: a plain map takes {} bytes, less than twice the catalog",
             size.plain_bytes
         );
         assert_eq!(size.counts.messages, 2000);
-        assert!(size.counts.calls > 1500, "{n}: {:?}", size.counts);
-        assert_eq!(size.counts.enlisted > 0, n > 1024, "{n}: {:?}", size.counts);
+        assert!(size.counts.calls > 1500, "{count} destinations: too few calls: {:?}", size.counts);
+        assert_eq!(
+            size.counts.activated > 0,
+            count > 1024,
+            "{count} destinations: they come into use only if there are more than 1,024: {:?}",
+            size.counts
+        );
     }
-    // What is not in use costs the catalog alone: ten times less than what is.
+    // A destination that is not in use costs its entry in the catalog alone: a tenth of one in use.
     let points: Vec<(f64, f64)> =
-        m.sizes.iter().skip(1).map(|s| (s.destinations as f64, s.listed_bytes)).collect();
+        measured.sizes.iter().skip(1).map(|s| (s.destinations as f64, s.listed_bytes)).collect();
     let line = slope::fit(&points).unwrap();
-    assert!(line.slope < 240.0, "{} bytes a destination beyond those in use", line.slope);
+    assert!(line.slope < 240.0, "{} bytes per destination that is not in use", line.slope);
     let again = run::run(&plan, &heap).unwrap();
-    for (a, b) in m.sizes.iter().zip(&again.sizes) {
-        let counts = |s: &run::Size| (s.counts.messages, s.counts.calls, s.counts.lost, s.counts.enlisted);
-        assert_eq!(counts(a), counts(b), "the same from the same seed");
+    for (first, second) in measured.sizes.iter().zip(&again.sizes) {
+        let counts =
+            |s: &run::SizeMeasurement| (s.counts.messages, s.counts.calls, s.counts.lost, s.counts.activated);
+        assert_eq!(counts(first), counts(second), "counts differ between two runs with the same seed");
     }
-    assert_eq!(m.spread.last_ms, again.spread.last_ms);
+    assert_eq!(measured.propagation.last_relay_ms, again.propagation.last_relay_ms);
 
     let broken =
         Plan::parse(&std::fs::read_to_string(&file).unwrap().replace("bytes: 6000", "bytes: 1")).unwrap();
-    let verdicts = report::verdicts(&broken, &m);
-    assert!(verdicts.iter().any(|v| v.kept == Some(false)), "a budget of one byte is broken");
+    let verdicts = report::verdicts(&broken, &measured);
+    assert!(
+        verdicts.iter().any(|v| v.within_budget == Some(false)),
+        "a budget of one byte per second was not reported as broken"
+    );
     let folder = std::env::temp_dir().join(format!("scale-plots-{}", std::process::id()));
-    report::plots(&folder, &m).unwrap();
+    report::plots(&folder, &measured).unwrap();
     let plot = std::fs::read_to_string(folder.join("listed.svg")).unwrap();
-    assert_eq!(plot.matches("<circle").count(), m.sizes.len());
+    assert_eq!(plot.matches("<circle").count(), measured.sizes.len());
     std::fs::remove_dir_all(folder).unwrap();
 }
 
+/// Guards against a plan with a value out of range or a misspelt field that runs all the same, and against an
+/// error that does not tell which field is wrong and what is allowed.
 #[test]
-fn what_can_not_be_run_is_named_with_what_is_allowed() {
+fn plan_errors_name_the_field_and_the_allowed_values() {
     let rows = [
         ("{relays: 0}", "relays: 0, allowed is 1 to 100000"),
         ("{destinations: [1, 2]}", "destinations (how many sizes): 2, allowed is 4 to 20"),
@@ -71,34 +101,37 @@
         ("{relays: 'many'}", "expected number at line 1 column 10"),
         ("{relays: 5", "1"),
     ];
-    for (text, words) in rows {
-        let said = Plan::parse(text).expect_err(text);
-        assert!(said.contains(words), "{text}: {said}");
+    for (text, expected) in rows {
+        let error = Plan::parse(text).expect_err(text);
+        assert!(error.contains(expected), "{text}: the error lacks {expected:?}: {error}");
     }
     assert!(Plan::read(Path::new("/absent.json5")).unwrap_err().starts_with("/absent.json5: "));
 }
 
-/// The last of the relays hears when discovery has answered all of them, and a rate beyond that is never in force.
+/// Guards against a simulation that ignores the limit of discovery's answers per second: the last relay gets
+/// a change only once discovery has answered all relays of its region.
 #[test]
-fn news_takes_as_long_as_discovery_takes_to_answer_all() {
+fn propagation_time_is_bounded_by_discovery_answer_rate() {
     let plan = Plan { relays: 400, regions: 4, zones: 4, answers: 100.0, ..Plan::default() };
-    let s = spread::spread(&plan, 0.2, 200.0, 30).unwrap();
+    let slow = propagation::simulate_propagation(&plan, 0.2, 200.0, 30).unwrap();
     assert!(
-        (900..1400).contains(&s.last_ms[0]),
-        "100 relays a region, 100 answers a second: {:?}",
-        s.last_ms
+        (900..1400).contains(&slow.last_relay_ms[0]),
+        "100 relays per region and 100 answers per second should take about a second: {:?}",
+        slow.last_relay_ms
     );
-    let fast = spread::spread(&Plan { answers: 10_000.0, ..plan }, 0.2, 200.0, 30).unwrap();
-    assert!(fast.last_ms[0] <= 20, "{:?}", fast.last_ms);
-    assert!(s.bytes[0] <= s.bytes[2] && s.back_ms > fast.back_ms);
+    let fast =
+        propagation::simulate_propagation(&Plan { answers: 10_000.0, ..plan }, 0.2, 200.0, 30).unwrap();
+    assert!(fast.last_relay_ms[0] <= 20, "10,000 answers per second take too long: {:?}", fast.last_relay_ms);
+    assert!(slow.bytes[0] <= slow.bytes[2] && slow.recovery_ms > fast.recovery_ms);
 }
 
+/// Guards against a fit that misses a straight line, reports a curve as one, or fits a line to one point.
 #[test]
-fn a_straight_line_is_found_and_what_is_none_shows() {
+fn fit_finds_a_line_and_reports_the_deviation_of_a_curve() {
     let line: Vec<(f64, f64)> = [1.0, 2.0, 3.0, 4.0].iter().map(|x| (*x, 3.0 + 2.0 * x)).collect();
     let fit = slope::fit(&line).unwrap();
-    assert!((fit.base - 3.0).abs() < 1e-9 && (fit.slope - 2.0).abs() < 1e-9 && fit.off < 1e-9);
+    assert!((fit.intercept - 3.0).abs() < 1e-9 && (fit.slope - 2.0).abs() < 1e-9 && fit.max_deviation < 1e-9);
     let square: Vec<(f64, f64)> = [1.0f64, 2.0, 3.0, 4.0].iter().map(|x| (*x, x * x)).collect();
-    assert!(slope::fit(&square).unwrap().off > 0.05);
+    assert!(slope::fit(&square).unwrap().max_deviation > 0.05);
     assert!(slope::fit(&line[..1]).is_none());
 }
