--- a/crates/scale/src/simulated_relay.rs
+++ b/crates/scale/src/simulated_relay.rs
@@ -107,7 +107,7 @@
 
     /// Returns the number of destinations in use.
     pub fn active_destinations(&self) -> usize {
-        self.view.borrow().used()
+        self.view.borrow().active_destinations()
     }
 
     /// Returns the size of the catalog in bytes, by its own count.
--- a/crates/tower/src/builder.rs
+++ b/crates/tower/src/builder.rs
@@ -191,7 +191,7 @@
             Some((folder, max_bytes)) => {
                 let opened = Journal::open(folder.clone(), max_bytes);
                 let (journal, recovered) = opened.map_err(|e| StartError::Folder(folder, e))?;
-                recovered.notes.iter().for_each(|note| (self.log)(note));
+                recovered.damage_notes.iter().for_each(|note| (self.log)(note));
                 self.run(connect, journal, recovered)
             }
         }
@@ -244,8 +244,9 @@
                 relay.restore(vec![HostUpdate::Full(hosts)], recovered, &Predecessor::default());
                 if let Some((agent, names)) = discovery {
                     let (_address_sender, agent_address) = watch::channel(agent);
-                    let apply_list =
-                        move |_, list: List| host_updates.list(HostUpdate::from_list(&list, &names));
+                    let apply_list = move |_, list: List| {
+                        host_updates.apply_list_update(HostUpdate::from_list(&list, &names))
+                    };
                     tokio::task::spawn_local(Discovery::new(agent, PollCost::Free).watch(
                         None,
                         agent_address,
@@ -268,7 +269,7 @@
         }
         let (host_updates, stop) = (handle.clone(), handle);
         let running = Running {
-            endpoints: Endpoints(Arc::new(move |update| host_updates.list(update))),
+            endpoints: Endpoints(Arc::new(move |update| host_updates.apply_list_update(update))),
             stop: Box::new(move |times| _ = stop.stop(times)),
             thread: Some(thread),
         };
@@ -306,7 +307,7 @@
         let (start, ms) = (Instant::now(), within.as_secs_f64().min(1e6) * 1000.0);
         // Calls end a little before the deadline, so that the outcome of an attempt can still be recorded.
         let calls_end_ms = (ms - 100.0).max(ms * 0.9);
-        (self.stop)(ShutdownTimes { calls_end_ms, linger_ms: 0.0, exit_ms: ms });
+        (self.stop)(ShutdownTimes { calls_end_ms, grace_ms: 0.0, exit_ms: ms });
         let ended = self.thread.take().is_none_or(|thread| thread.join().is_ok());
         ended && start.elapsed() < within
     }
@@ -315,7 +316,7 @@
 impl Drop for Running {
     fn drop(&mut self) {
         if let Some(thread) = self.thread.take() {
-            (self.stop)(ShutdownTimes { calls_end_ms: 0.0, linger_ms: 0.0, exit_ms: 0.0 });
+            (self.stop)(ShutdownTimes { calls_end_ms: 0.0, grace_ms: 0.0, exit_ms: 0.0 });
             // Waits for the thread, so that the state folder is free on return. This takes one iteration of
             // the engine's loop.
             let _panicked = thread.join();
--- a/crates/tower/src/carrier.rs
+++ b/crates/tower/src/carrier.rs
@@ -68,7 +68,7 @@
     /// Converts a list of the platform's discovery. Its hosts use plain HTTP.
     pub fn from_list(list: &List, names: &ListNames) -> HostUpdate {
         let host = |entry: &Entry| {
-            let endpoint = names.endpoint(entry);
+            let endpoint = names.to_endpoint(entry);
             Host {
                 name: endpoint.name,
                 scheme: "http".into(),
@@ -176,8 +176,8 @@
         };
         let response = Response::from_parts(head, body);
         let parsed = self.protocol.parse(&response);
-        if parsed.wait_ms > 0.0 {
-            let (now, wait) = (Instant::now(), Duration::from_secs_f64(parsed.wait_ms / 1000.0));
+        if parsed.retry_after_ms > 0.0 {
+            let (now, wait) = (Instant::now(), Duration::from_secs_f64(parsed.retry_after_ms / 1000.0));
             let mut retry_afters = self.retry_afters.borrow_mut();
             retry_afters.retain(|_, until| *until > now);
             let until = retry_afters.entry(self.group(&host)).or_insert(now);
@@ -186,7 +186,7 @@
         AttemptEnd {
             outcome: parsed.outcome,
             settled: parsed.settled,
-            wait_ms: parsed.wait_ms,
+            retry_after_ms: parsed.retry_after_ms,
             report: Vec::new(),
             response: Some(response),
         }
--- a/crates/tower/src/front.rs
+++ b/crates/tower/src/front.rs
@@ -195,7 +195,7 @@
         }
     }
 
-    fn waits(&self, ticket: &Ticket) -> bool {
+    fn is_waiting(&self, ticket: &Ticket) -> bool {
         !ticket.result.is_closed()
     }
 
@@ -235,7 +235,7 @@
         let (second, joined, mut receiver) = ticket(&waiting);
         front.reply(FrontReply::Duplicate { id: 1, ticket: second });
         assert!(joined.is_accepted() && joined.abandon().is_none());
-        front.withdrawn(1);
+        front.on_withdrawn(1);
         assert!(matches!(receiver.try_recv(), Ok(Err(e)) if e.may_have_run()));
         // The first caller drops after the second has joined: the message stays.
         let (first, state, _receiver) = ticket(&waiting);
--- a/crates/tower/src/protocol.rs
+++ b/crates/tower/src/protocol.rs
@@ -33,10 +33,11 @@
 
 /// An outcome that settles nothing and asks for no wait.
 const fn unsettled(outcome: Outcome) -> ParsedOutcome {
-    ParsedOutcome { outcome, settled: false, wait_ms: 0.0 }
+    ParsedOutcome { outcome, settled: false, retry_after_ms: 0.0 }
 }
 
-const DELIVERED: ParsedOutcome = ParsedOutcome { outcome: Outcome::Delivered, settled: true, wait_ms: 0.0 };
+const DELIVERED: ParsedOutcome =
+    ParsedOutcome { outcome: Outcome::Delivered, settled: true, retry_after_ms: 0.0 };
 /// A negative final answer counts like a delivery, as it shows that the partner works.
 const NEGATIVE_ANSWER: ParsedOutcome = DELIVERED;
 
@@ -116,7 +117,11 @@
 
 /// The host rejected the request without processing it and asks to wait.
 fn full(wait_ms: f64) -> ParsedOutcome {
-    ParsedOutcome { outcome: Outcome::Full, settled: false, wait_ms: wait_ms.clamp(0.0, MAX_RETRY_AFTER_MS) }
+    ParsedOutcome {
+        outcome: Outcome::Full,
+        settled: false,
+        retry_after_ms: wait_ms.clamp(0.0, MAX_RETRY_AFTER_MS),
+    }
 }
 
 /// Returns what a complete gRPC response means.
@@ -234,7 +239,7 @@
         assert_eq!(parse(Protocol::Platform, 504, None), unsettled(Outcome::NotSent));
         assert_eq!(
             parse(Protocol::Platform, 410, None),
-            ParsedOutcome { outcome: Outcome::NotSent, settled: true, wait_ms: 0.0 }
+            ParsedOutcome { outcome: Outcome::NotSent, settled: true, retry_after_ms: 0.0 }
         );
         assert_eq!(parse(Protocol::Platform, 201, None), unsettled(Outcome::Error));
     }
