--- a/crates/tower/src/client.rs
+++ b/crates/tower/src/client.rs
@@ -110,7 +110,7 @@
         let (mut parts, body) = request.into_parts();
         let own = parts.extensions.remove::<CallOptions>().unwrap_or_default();
         let options = own.with_defaults(self.methods.of(parts.uri.path()));
-        let class = options.class.as_deref().ok_or(Error::BadCall("the call has no class"))?;
+        let class = options.class.as_deref().ok_or(Error::BadCall("no class is given for it"))?;
         let class = self.names.classes.iter().position(|c| c == class);
         let class = class.ok_or(Error::BadCall("there is no such class"))?;
         let settings = self.classes.get(class).ok_or(Error::BadCall("there is no such class"))?;
@@ -119,26 +119,25 @@
             Some(name) => self.names.tenants.iter().position(|t| t == name),
         };
         let tenant = tenant.ok_or(Error::BadCall("there is no such tenant"))?;
-        let destination = options.destination.ok_or(Error::BadCall("the call has no destination"))?;
+        let destination = options.destination.ok_or(Error::BadCall("no destination is given for it"))?;
         if settings.effect == Effect::Keyed && options.key.is_none() {
-            return Err(Error::BadCall("the class of the call needs a key"));
+            return Err(Error::BadCall("its class needs a key"));
         }
         let ids = [&options.key, &options.call_id, &options.order_key];
         if ids.into_iter().flatten().any(|id| id.is_empty() || id.len() > MAX_ID_BYTES) {
-            return Err(Error::BadCall("an id or key is empty or too long (at most 256 bytes)"));
+            return Err(Error::BadCall("an id or key is empty or too long"));
         }
         let plain = |id: &String| id.bytes().all(|b| b.is_ascii_graphic());
         if !options.key.iter().chain(&options.call_id).all(plain) {
-            return Err(Error::BadCall("an id or key is not plain text (visible ASCII characters)"));
+            return Err(Error::BadCall("an id or key is not plain text"));
         }
         let body = collect(body, self.max_request_bytes).await.map_err(|e| match e {
-            BodyError::TooLong => Error::BadCall("the request body is too long"),
-            BodyError::Broken => Error::BadCall("the request body ended with an error"),
+            BodyError::TooLong => Error::BadCall("its body is too long"),
+            BodyError::Broken => Error::BadCall("its body broke off"),
         })?;
         let max_budget = Duration::from_secs_f64(settings.deadline_ms.clamp(0.0, 1e9) / 1000.0);
         let budget = options.budget.unwrap_or(max_budget).min(max_budget);
-        let stored = stored::encode(&parts, body.data())
-            .ok_or(Error::BadCall("the request can't be encoded for storage"))?;
+        let stored = stored::encode(&parts, body.data()).ok_or(Error::BadCall("it can't be stored"))?;
         Ok(Message {
             call_id: options.call_id.unwrap_or_else(|| self.generate_id()),
             class,
--- a/crates/tower/src/error.rs
+++ b/crates/tower/src/error.rs
@@ -55,14 +55,14 @@
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let run_note = if self.may_have_run() { "; the call may have run" } else { "; the call did not run" };
+        let run_note = if self.may_have_run() { "; it may have run" } else { "; it did not run" };
         match self {
             Error::Refused { retry_after: Some(after), .. } => {
-                write!(f, "refused, retry after {} ms{run_note}", after.as_millis())
+                write!(f, "refused, come back in {} ms{run_note}", after.as_millis())
             }
             Error::Refused { .. } => write!(f, "refused{run_note}"),
             Error::Failed { .. } => write!(f, "not delivered{run_note}"),
-            Error::BadCall(why) => write!(f, "invalid call: {why}"),
+            Error::BadCall(why) => write!(f, "the call can't be taken: {why}"),
             Error::Stopped { .. } => write!(f, "the relay was shut down{run_note}"),
         }
     }
