--- a/crates/daemon/benches/sockets.rs
+++ b/crates/daemon/benches/sockets.rs
@@ -1,7 +1,8 @@
-//! The program on loopback sockets beside a bare forwarder: CPU a message of both, with none, 2,000 and 20,000
-//! messages held for slow partners. `cargo bench --bench sockets`; it prints a table and takes about a minute.
+//! Compares the program on loopback sockets with a bare forwarder: CPU per message of both, with none, 2,000
+//! and 20,000 messages queued for slow partners. `cargo bench --bench sockets` prints a table and takes about
+//! a minute.
 //!
-//! The forwarder is hyper with one request in and one out: no journal, no decisions, no ids, no queue.
+//! The forwarder is hyper with one request in and one out: it has no journal, decisions, ids or queue.
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -20,14 +21,16 @@
 
 const PROGRAM: Program = program!();
 
-/// Clients' connections, each with one request at a time.
+/// Number of client connections, each with one request at a time.
 const CLIENTS: usize = 16;
 const MESSAGES: usize = 16_000;
 const ROUNDS: usize = 15;
-const SLOW: u64 = 50;
+/// Number of destinations without an active host, for which messages are queued.
+const SLOW_DESTINATIONS: u64 = 50;
 
-/// A host that answers 200 at once and counts.
-fn host() -> (SocketAddr, Arc<AtomicUsize>) {
+/// Starts a host that answers each request with 200 at once; returns its address and the count of its
+/// answers.
+fn start_host() -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (address, served) = (listener.local_addr().unwrap(), Arc::new(AtomicUsize::new(0)));
     let count = served.clone();
@@ -40,10 +43,10 @@
     (address, served)
 }
 
-/// Reads requests with a length and answers each.
+/// Answers all requests of one connection and counts them.
 fn answer(mut stream: TcpStream, count: &AtomicUsize) {
-    let mut kept: Vec<u8> = Vec::new();
-    while read_one(&mut stream, &mut kept).is_some() {
+    let mut unread: Vec<u8> = Vec::new();
+    while read_one(&mut stream, &mut unread).is_some() {
         count.fetch_add(1, Ordering::SeqCst);
         if stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").is_err() {
             return;
@@ -51,35 +54,36 @@
     }
 }
 
-/// Takes one message off the stream; gives its first line's second word.
-fn read_one(stream: &mut TcpStream, kept: &mut Vec<u8>) -> Option<u16> {
+/// Reads one request or answer; returns the second word of its first line as a number, which is an answer's
+/// status. Bytes behind it stay in `unread`.
+fn read_one(stream: &mut TcpStream, unread: &mut Vec<u8>) -> Option<u16> {
     loop {
-        if let Some(head) = kept.windows(4).position(|w| w == b"\r\n\r\n") {
-            let text = String::from_utf8_lossy(&kept[..head]).to_ascii_lowercase();
+        if let Some(head) = unread.windows(4).position(|w| w == b"\r\n\r\n") {
+            let text = String::from_utf8_lossy(&unread[..head]).to_ascii_lowercase();
             let length =
                 text.split("content-length: ").nth(1).and_then(|t| t.split('\r').next()?.parse().ok());
             let end = head + 4 + length.unwrap_or(0);
-            if kept.len() >= end {
-                kept.drain(..end);
+            if unread.len() >= end {
+                unread.drain(..end);
                 return Some(text.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0));
             }
         }
         let mut part = [0; 4096];
         match stream.read(&mut part) {
-            Ok(n) if n > 0 => kept.extend_from_slice(&part[..n]),
+            Ok(n) if n > 0 => unread.extend_from_slice(&part[..n]),
             _ => return None,
         }
     }
 }
 
-/// Hands in `count` messages over all clients; destinations by number.
+/// Submits `count` messages over all clients, each to the destination that `dest` gives for its number.
 fn submit(to: SocketAddr, name: &str, count: usize, dest: impl Fn(usize) -> u64 + Copy + Send + 'static) {
     let clients = (0..CLIENTS).map(|client| {
         let name = name.to_string();
         std::thread::spawn(move || {
             let mut stream = TcpStream::connect(to).unwrap();
             stream.set_nodelay(true).unwrap();
-            let mut kept = Vec::new();
+            let mut unread = Vec::new();
             for n in (client..count).step_by(CLIENTS) {
                 let request = format!(
                     "POST /safe HTTP/1.1\r\nHost: api.internal\r\nX-Call-Id: {name}-{n}\r\nX-Caller: acme\r\n\
@@ -88,7 +92,7 @@
                     "x".repeat(200)
                 );
                 stream.write_all(request.as_bytes()).unwrap();
-                let status = read_one(&mut stream, &mut kept);
+                let status = read_one(&mut stream, &mut unread);
                 assert_eq!(status, Some(202), "message {name}-{n}");
             }
         })
@@ -97,7 +101,7 @@
     clients.into_iter().for_each(|c| c.join().unwrap());
 }
 
-/// CPU time that a process has used, in microseconds, to a hundredth of a second.
+/// Returns the CPU time that a process has used, in microseconds, to a hundredth of a second.
 fn cpu_us(process: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap();
     let after = text.rsplit(')').next().unwrap();
@@ -105,16 +109,16 @@
     ticks as f64 * 10_000.0
 }
 
-/// CPU a message and messages a second.
+/// Returns CPU microseconds per message and messages per second.
 fn measure(process: u32, to: SocketAddr, served: &AtomicUsize, name: &str) -> (f64, f64) {
     let (before, cpu, start) = (served.load(Ordering::SeqCst), cpu_us(process), Instant::now());
     submit(to, name, MESSAGES, |_| 0);
-    until("all are delivered", || (served.load(Ordering::SeqCst) >= before + MESSAGES).then_some(()));
+    until("all deliveries", || (served.load(Ordering::SeqCst) >= before + MESSAGES).then_some(()));
     let wall = start.elapsed().as_secs_f64();
     ((cpu_us(process) - cpu) / MESSAGES as f64, MESSAGES as f64 / wall)
 }
 
-/// One request in, one out.
+/// Runs the forwarder: each request is sent on to `host`, and answered with 202 after the host's answer.
 async fn forward(host: SocketAddr) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     println!("{}", listener.local_addr().unwrap());
@@ -141,9 +145,9 @@
                     let out = out.body(Full::new(body)).unwrap();
                     let answer = sender.lock().await.send_request(out).await?;
                     answer.into_body().collect().await?;
-                    let mut taken = Response::new(Full::new(Bytes::new()));
-                    *taken.status_mut() = StatusCode::ACCEPTED;
-                    Ok::<_, hyper::Error>(taken)
+                    let mut accepted = Response::new(Full::new(Bytes::new()));
+                    *accepted.status_mut() = StatusCode::ACCEPTED;
+                    Ok::<_, hyper::Error>(accepted)
                 }
             });
             let _client_gone = hyper::server::conn::http1::Builder::new()
@@ -153,6 +157,7 @@
     }
 }
 
+/// The forwarder's process, which is killed on drop.
 struct Forwarder(Child);
 
 impl Drop for Forwarder {
@@ -162,7 +167,8 @@
     }
 }
 
-fn forwarder(host: SocketAddr) -> (Forwarder, SocketAddr) {
+/// Starts the forwarder as a process of its own; returns it with its address.
+fn start_forwarder(host: SocketAddr) -> (Forwarder, SocketAddr) {
     let this = std::env::current_exe().unwrap();
     let mut child =
         Command::new(this).env("FORWARD_TO", host.to_string()).stdout(Stdio::piped()).spawn().unwrap();
@@ -175,10 +181,11 @@
     (Forwarder(child), String::from_utf8(line).unwrap().parse().unwrap())
 }
 
-fn relay(host: SocketAddr, held: usize) -> Relay {
+/// Starts a relay with `queued` messages for destinations without an active host.
+fn start_relay(host: SocketAddr, queued: usize) -> Relay {
     let agent = Agent::new(&[]);
     agent.list("h0", 0, host, "active");
-    (1..=SLOW).for_each(|dest| agent.hold(dest));
+    (1..=SLOW_DESTINATIONS).for_each(|dest| agent.hold(dest));
     let mut config = config(agent.address);
     let settings = &mut config["settings"];
     settings["Domain"]["Slots"] = json!(64);
@@ -190,12 +197,12 @@
     config["limits"] = json!({"cores": 1.0, "memory_mb": 512, "sockets": 1024, "disk_mb": 256});
     let relay = Relay::with(PROGRAM, config, &agent);
     until("the list", || (relay.submit("safe", "first", 0).status() == 202).then_some(()));
-    submit(relay.address, "held", held, |n| 1 + n as u64 % SLOW);
+    submit(relay.address, "held", queued, |n| 1 + n as u64 % SLOW_DESTINATIONS);
     relay
 }
 
-/// What bad clients send at full speed, and the answer that is due.
-const BAD: [(&str, u16, &str); 5] = [
+/// Requests that bad clients send at full speed: a name, the expected status, and the bytes.
+const BAD_REQUESTS: [(&str, u16, &str); 5] = [
     ("no such class", 404, "POST /none HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"),
     ("no id", 400, "POST /safe HTTP/1.1\r\nHost: x\r\nX-Caller: acme\r\nContent-Length: 0\r\n\r\n"),
     (
@@ -210,7 +217,7 @@
         "POST /safe HTTP/1.1\r\nHost: x\r\nX-Call-Id: a\r\nX-Caller: acme\r\nX-Budget: 900m\r\n\
          Content-Length: 0\r\nX-Envelope: dest=999999\r\n\r\n",
     ),
-    // Taken on before, and held: the same message again and again.
+    // A message that was accepted before and is queued, submitted again and again.
     (
         "handed in again",
         202,
@@ -218,42 +225,46 @@
          Content-Length: 0\r\nX-Envelope: dest=1\r\n\r\n",
     ),
 ];
-const BAD_REQUESTS: usize = 4000;
+const FLOOD_REQUESTS: usize = 4000;
 
-/// Sends one kind of them from all clients, as fast as answers come; gives CPU a request.
+/// Sends one bad request from all clients, as fast as answers come; returns CPU microseconds per request.
 fn flood(relay: &Relay, status: u16, request: &'static str) -> f64 {
     let (cpu, to) = (cpu_us(relay.child.id()), relay.address);
     let client = move || {
         let mut stream: Option<TcpStream> = None;
-        let mut kept = Vec::new();
-        for _ in 0..BAD_REQUESTS / CLIENTS {
+        let mut unread = Vec::new();
+        for _ in 0..FLOOD_REQUESTS / CLIENTS {
             let open = stream.get_or_insert_with(|| TcpStream::connect(to).unwrap());
             open.write_all(request.as_bytes()).unwrap();
-            assert_eq!(read_one(open, &mut kept), Some(status), "{request}");
-            // The relay ends the connection after what can't be taken.
+            assert_eq!(read_one(open, &mut unread), Some(status), "{request}");
+            // The relay closes the connection after a malformed request.
             if (400..500).contains(&status) {
-                (stream, kept) = (None, Vec::new());
+                (stream, unread) = (None, Vec::new());
             }
         }
     };
     let clients: Vec<_> = (0..CLIENTS).map(|_| std::thread::spawn(client)).collect();
     clients.into_iter().for_each(|c| c.join().unwrap());
-    (cpu_us(relay.child.id()) - cpu) / BAD_REQUESTS as f64
+    (cpu_us(relay.child.id()) - cpu) / FLOOD_REQUESTS as f64
 }
 
-fn bad_clients(relays: &[Relay], sizes: &[usize]) {
+/// Prints the CPU per bad request of each kind, for each relay.
+fn measure_bad_clients(relays: &[Relay], sizes: &[usize]) {
     println!("\nbad clients, CPU a request in us, medians of {ROUNDS} rounds");
     println!("{:<24} {}", "held", sizes.iter().map(|s| format!("{s:>10}")).collect::<String>());
     relays.iter().for_each(|r| submit(r.address, "again", 1, |_| 1));
-    for (name, status, request) in BAD {
-        let all = |r: &Relay| median((0..ROUNDS).map(|_| flood(r, status, request)).collect());
-        println!("{name:<24} {}", relays.iter().map(|r| format!("{:>10.1}", all(r))).collect::<String>());
+    for (name, status, request) in BAD_REQUESTS {
+        let median_cpu = |r: &Relay| median((0..ROUNDS).map(|_| flood(r, status, request)).collect());
+        println!(
+            "{name:<24} {}",
+            relays.iter().map(|r| format!("{:>10.1}", median_cpu(r))).collect::<String>()
+        );
     }
 }
 
-fn median(mut all: Vec<f64>) -> f64 {
-    all.sort_by(f64::total_cmp);
-    all[all.len() / 2]
+fn median(mut values: Vec<f64>) -> f64 {
+    values.sort_by(f64::total_cmp);
+    values[values.len() / 2]
 }
 
 fn main() {
@@ -266,34 +277,37 @@
     if std::env::args().any(|a| a == "--test") {
         return;
     }
-    let (host, served) = host();
-    let (bare, bare_at) = forwarder(host);
+    let (host, served) = start_host();
+    let (forwarder, forwarder_address) = start_forwarder(host);
     let sizes = [0, 2000, 20_000];
-    let relays: Vec<Relay> = sizes.iter().map(|held| relay(host, *held)).collect();
-    // CPU a message, messages a second, and the first beside the forwarder's just before: machines drift.
+    let relays: Vec<Relay> = sizes.iter().map(|queued| start_relay(host, *queued)).collect();
+    // CPU per message, messages per second, and the ratio of the first to that of the forwarder measured just
+    // before, as the speed of a machine drifts.
     let mut rows: Vec<Vec<[f64; 3]>> = vec![Vec::new(); 1 + sizes.len()];
     for round in 0..=ROUNDS {
-        for (at, (relay, held)) in relays.iter().zip(sizes).enumerate() {
-            let (bare_cpu, bare_rate) = measure(bare.0.id(), bare_at, &served, &format!("b{held}-{round}"));
-            let (cpu, rate) = measure(relay.child.id(), relay.address, &served, &format!("r{held}-{round}"));
-            // The first round warms up.
+        for (index, (relay, queued)) in relays.iter().zip(sizes).enumerate() {
+            let (forwarder_cpu, forwarder_rate) =
+                measure(forwarder.0.id(), forwarder_address, &served, &format!("b{queued}-{round}"));
+            let (cpu, rate) =
+                measure(relay.child.id(), relay.address, &served, &format!("r{queued}-{round}"));
+            // The first round is a warm-up.
             if round > 0 {
-                rows[0].push([bare_cpu, bare_rate, 1.0]);
-                rows[1 + at].push([cpu, rate, cpu / bare_cpu]);
+                rows[0].push([forwarder_cpu, forwarder_rate, 1.0]);
+                rows[1 + index].push([cpu, rate, cpu / forwarder_cpu]);
             }
         }
     }
-    let of = |at: usize, what: usize| median(rows[at].iter().map(|m| m[what]).collect());
+    let median_of = |row: usize, column: usize| median(rows[row].iter().map(|m| m[column]).collect());
     println!("{MESSAGES} messages a round, medians of {ROUNDS} rounds");
     println!(
         "{:<24} {:>14} {:>12} {:>14} {:>14}",
         "", "CPU a message", "messages/s", "to forwarder", "to none held"
     );
-    for (at, name) in
+    for (row, name) in
         ["forwarder", "relay, 0 held", "relay, 2000 held", "relay, 20000 held"].iter().enumerate()
     {
-        let (cpu, rate, ratio) = (of(at, 0), of(at, 1), of(at, 2));
-        println!("{name:<24} {cpu:>11.1} us {rate:>12.0} {ratio:>14.2} {:>14.2}", ratio / of(1, 2));
+        let (cpu, rate, ratio) = (median_of(row, 0), median_of(row, 1), median_of(row, 2));
+        println!("{name:<24} {cpu:>11.1} us {rate:>12.0} {ratio:>14.2} {:>14.2}", ratio / median_of(1, 2));
     }
-    bad_clients(&relays, &sizes);
+    measure_bad_clients(&relays, &sizes);
 }
